--- a/packages/decisions/src/crash-ledger.ts
+++ b/packages/decisions/src/crash-ledger.ts
@@ -1,235 +1,241 @@
 /**
- * Requests under which servers ended, and which of them are quarantined.
+ * Records which servers crashed while they ran which request, and quarantines requests that crash servers.
  *
- * Load pattern: a request ends each server that begins to run it, and its caller sends it again. A server that ends takes all
- * its requests along, so one end accuses up to a whole batch of which one request at most is to blame. What tells that one from
- * the others is that it was sent anew and another server ended under it: such ends in a row quarantine it, two for a while,
- * three for long. Ends of which each request was sent before the other server ended count once, as one trouble may end many
- * servers at a time. A run that comes to its end shows that the request ends no server, and voids all ends before.
+ * Without it, a request that crashes each server that runs it takes down one after the other, since its caller retries it. A crash
+ * fails all requests on the server, up to a whole batch, of which at most one is the cause. The cause can be told from the others by
+ * its retry: it was sent again after the crash, and the next server crashed too. Such consecutive crashes quarantine a request, two
+ * for a short time and three for a long one. Crashes whose runs overlap count as one, as a single fault may bring down many servers
+ * at the same time. A run that completes shows that the request crashes no server, and discards all crashes before it.
  *
- * The end of a quarantine frees nothing: whatever sends the request again comes at all entries in the same moment. One run of it is
- * a probe, for all entries together, and what becomes of that decides.
+ * When a quarantine expires, the request isn't released: its caller may retry it through all entry processes at the same
+ * moment. One run of it is allowed across all of them, as a probe, and the outcome of the probe decides.
  */
 import type { RequestFingerprint } from '@finchpitch/core'
 
-/** A server ended while it ran a request, or soon after it was sent one. */
+/** A server crashed while it ran a request, or shortly after the request was sent to it. */
 export interface Crash {
   fingerprint: RequestFingerprint
-  /** One life of one server. */
+  /** One incarnation of a server; a restarted server counts as another one. */
   server: string
-  /** On the holder's steady clock. */
+  /** On the monotonic clock of this process. */
   sentAt: number
   endedAt: number
 }
 
-/** A run of a request came to its end. */
+/** A run of a request that completed. */
 export interface SoundRun {
   fingerprint: RequestFingerprint
   endedAt: number
 }
 
-/** The one run of a request whose quarantine lapsed. */
+/** The single run that a request is allowed after its quarantine has expired. */
 export interface Probe {
   fingerprint: RequestFingerprint
-  /** On the holder's steady clock. */
+  /** When it was started, on the monotonic clock of this process. */
   at: number
 }
 
 export interface CrashLimits {
-  /** Ends in a row that quarantine a request for `holdMs`, */
+  /** Consecutive crashes that quarantine a request for a short time. */
   ends: number
+  /** Length of the short quarantine, counted from the last crash. */
   holdMs: number
-  /** and those that quarantine it for as long as the ends count. */
+  /** Consecutive crashes that quarantine a request until the first of them expires. */
   sureEnds: number
-  /** How long an end counts. */
+  /** How long a crash counts. */
   keepMs: number
-  /** A probe that has not shown anything after so long may be followed by another. */
+  /** Another probe is allowed when the last one has had no outcome for this long. */
   probeMs: number
-  /** Probes in a row that showed nothing quarantine a request for as long as an end counts. */
+  /** Consecutive probes without an outcome that quarantine a request for as long as a crash counts. */
   probes: number
-  /** Requests that are kept. */
+  /** Maximum number of requests in the table. */
   most: number
 }
 
 /**
- * A request that ends each engine that runs it, sent each 1.3 s for a minute among 230 others a second on 13 engines, costs
- * 350 of the others where it is never refused, 75 if refused for good after one end, 9 after two, 10 after three, and 2 with
- * these limits; with an end of another cause each 3 s beside it 773, 737, 5, 5 and 7 (means of ten seeded replays).
+ * A replay sends a request that crashes each engine that runs it, every 1.3 s for a minute, among 230 others per second on 13
+ * engines. Of the others it loses 350 where the request is never refused, 75 where it is refused for good after one crash, 9 after
+ * two, 10 after three, and 2 with these limits. With an unrelated crash every 3 s on top, it loses 773, 737, 5, 5 and 7 (means of
+ * ten seeds).
  */
 export const crashLimits: CrashLimits = {
   ends: 2,
-  /** A request that many callers send alike may be quarantined by chance. Its next run then clears it. */
+  /** Short, as an identical request from many callers may be quarantined by coincidence. Its next run then clears it. */
   holdMs: 5000,
   sureEnds: 3,
-  /** A server that ends under a request is mended by people; each time this lapses, three more servers end. */
+  /** Long, as a request that crashes servers has to be fixed by people, and each time this expires, three more servers crash. */
   keepMs: 600_000,
-  /** The longest time that callers give a request, and until an end is known for one. */
+  /** Covers the longest timeout of a caller and the time until a crash is known to have occurred. */
   probeMs: 15_000,
   probes: 2,
-  /** Some 200 bytes each, with two ends. One end of a server brings up to a batch of requests. */
+  /** A record takes about 200 bytes with two crashes. One crash of a server adds up to a batch of requests. */
   most: 2000
 }
 
-/** Why a request is not sent. */
+/** Why a request must not be sent. */
 export interface QuarantineCase {
-  /** The servers that ended under it, one after the other. */
+  /** The servers that crashed under it, in order. */
   servers: string[]
   leftMs: number
 }
 
-/** Reports of one probe by way of several processes are no further from each other. */
+/** Reports of the same probe that arrive by way of different processes lie less than this apart. */
 const sameProbeMs = 1000
 
-/** How often it is looked for what no longer counts. */
-const sweepMs = 1000
-/** What is left of a full ledger, so that room is not made for each request. */
-const keptShare = 0.9
+/** How often expired records are searched for. */
+const expiryIntervalMs = 1000
+/** Share of the maximum that an eviction leaves, so that not every further request causes another eviction. */
+const evictionTarget = 0.9
 
-interface Suspect {
+interface RequestRecord {
   readonly crashes: Map<string, Crash>
-  soundAt: number
-  /** When probes were begun that have shown nothing yet. */
-  probedAt: number[]
-  /** Until when it is sent as a probe only, where it is not quarantined. */
-  probeUntil: number
+  /** When the last completed run ended. */
+  completedAt: number
+  /** Start times of the probes that have no outcome yet. */
+  pendingProbes: number[]
+  /** Until then the request may only be sent as a probe, where it isn't quarantined. */
+  probeOnlyUntil: number
 }
 
-const newSuspect = (): Suspect => ({ crashes: new Map(), soundAt: -Infinity, probedAt: [], probeUntil: -Infinity })
+const emptyRecord = (): RequestRecord => ({ crashes: new Map(), completedAt: -Infinity, pendingProbes: [], probeOnlyUntil: -Infinity })
 
 export class CrashLedger {
-  /** The one that was longest without news first. */
-  readonly #suspects = new Map<RequestFingerprint, Suspect>()
-  #sweptAt = -Infinity
+  /** In the order of their last updates, the least recent first. */
+  readonly #records = new Map<RequestFingerprint, RequestRecord>()
+  #expiredAt = -Infinity
 
   constructor (private readonly limits: CrashLimits) {}
 
   get size (): number {
-    return this.#suspects.size
+    return this.#records.size
   }
 
-  /** Says whether it was news. */
+  /** Records a crash. Returns false if it was known, has expired, or came before a completed run. */
   crashed (crash: Crash, now: number): boolean {
     const { fingerprint, server, endedAt } = crash
     if (now - endedAt >= this.limits.keepMs) return false
-    const suspect = this.#suspects.get(fingerprint) ?? newSuspect()
-    if (suspect.crashes.has(server) || endedAt <= suspect.soundAt) return false
-    suspect.crashes.set(server, crash)
-    suspect.probedAt = suspect.probedAt.filter(at => at > endedAt)
-    this.#heardOf(fingerprint, suspect, now)
+    const record = this.#records.get(fingerprint) ?? emptyRecord()
+    if (record.crashes.has(server) || endedAt <= record.completedAt) return false
+    record.crashes.set(server, crash)
+    // The crash is the outcome of the probes that were started before it.
+    record.pendingProbes = record.pendingProbes.filter(at => at > endedAt)
+    this.#update(fingerprint, record, now)
     return true
   }
 
-  /** A probe was begun. Says whether it was news. */
+  /** Records that a probe was started. Returns false if it was known, has expired, or came before a completed run. */
   probed ({ fingerprint, at }: Probe, now: number): boolean {
-    const suspect = this.#suspects.get(fingerprint) ?? newSuspect()
-    if (at <= suspect.soundAt || now - at >= this.limits.keepMs) return false
-    // Ages that cross between processes differ by their ways.
-    if (suspect.probedAt.some(each => Math.abs(each - at) < sameProbeMs)) return false
-    suspect.probedAt.push(at)
-    this.#heardOf(fingerprint, suspect, now)
+    const record = this.#records.get(fingerprint) ?? emptyRecord()
+    if (at <= record.completedAt || now - at >= this.limits.keepMs) return false
+    // Times cross between processes as ages, so the same probe appears at a slightly different time on each path.
+    if (record.pendingProbes.some(each => Math.abs(each - at) < sameProbeMs)) return false
+    record.pendingProbes.push(at)
+    this.#update(fingerprint, record, now)
     return true
   }
 
-  /** Says whether it voids anything; of requests that are not kept it does not. */
+  /** Records a completed run. Returns true if that discarded a crash or a probe; always false for a request without a record. */
   sound ({ fingerprint, endedAt }: SoundRun): boolean {
-    const suspect = this.#suspects.get(fingerprint)
-    if (suspect === undefined || endedAt <= suspect.soundAt) return false
-    const voided = [...suspect.crashes.values()].filter(crash => crash.endedAt <= endedAt)
-    for (const { server } of voided) suspect.crashes.delete(server)
-    const probed = suspect.probedAt.length > 0
-    suspect.soundAt = endedAt
-    suspect.probedAt = []
-    suspect.probeUntil = -Infinity
-    return voided.length > 0 || probed
-  }
-
-  /** `undefined` where the request may be sent. */
+    const record = this.#records.get(fingerprint)
+    if (record === undefined || endedAt <= record.completedAt) return false
+    const discarded = [...record.crashes.values()].filter(crash => crash.endedAt <= endedAt)
+    for (const { server } of discarded) record.crashes.delete(server)
+    const probed = record.pendingProbes.length > 0
+    record.completedAt = endedAt
+    record.pendingProbes = []
+    record.probeOnlyUntil = -Infinity
+    return discarded.length > 0 || probed
+  }
+
+  /** `undefined` if the request isn't quarantined. */
   quarantine (fingerprint: RequestFingerprint, now: number): QuarantineCase | undefined {
-    const suspect = this.#suspects.get(fingerprint)
-    if (suspect === undefined) return undefined
-    const row = inRow(this.#current(suspect, now))
-    const leftMs = Math.max(this.#heldUntil(row), this.#probedUntil(suspect)) - now
-    return leftMs > 0 ? { servers: row.map(crash => crash.server), leftMs } : undefined
+    const record = this.#records.get(fingerprint)
+    if (record === undefined) return undefined
+    const consecutive = consecutiveCrashes(this.#unexpired(record, now))
+    const leftMs = Math.max(this.#crashHoldUntil(consecutive), this.#probeHoldUntil(record)) - now
+    return leftMs > 0 ? { servers: consecutive.map(crash => crash.server), leftMs } : undefined
   }
 
-  /** Its quarantine has lapsed and nothing has shown since that it is sound: it may be sent once, by one entry of all. */
+  /** Whether the quarantine has expired and no run has completed since, so that one entry process of all may send the request once. */
   probeDue (fingerprint: RequestFingerprint, now: number): boolean {
-    const suspect = this.#suspects.get(fingerprint)
-    return suspect !== undefined && now < suspect.probeUntil && this.quarantine(fingerprint, now) === undefined
+    const record = this.#records.get(fingerprint)
+    return record !== undefined && now < record.probeOnlyUntil && this.quarantine(fingerprint, now) === undefined
   }
 
-  /** Probes that have shown nothing yet. */
+  /** Probes without an outcome yet. */
   probes (): Probe[] {
-    return [...this.#suspects].flatMap(([fingerprint, { probedAt }]) => probedAt.map(at => ({ fingerprint, at })))
+    return [...this.#records].flatMap(([fingerprint, { pendingProbes }]) => pendingProbes.map(at => ({ fingerprint, at })))
   }
 
-  /** All that still counts. */
+  /** All crashes that have not expired. */
   crashes (now: number): Crash[] {
-    return [...this.#suspects.values()].flatMap(suspect => this.#current(suspect, now))
+    return [...this.#records.values()].flatMap(record => this.#unexpired(record, now))
   }
 
-  /** What still counts against one request. */
+  /** The crashes of one request that have not expired. */
   crashesOf (fingerprint: RequestFingerprint, now: number): Crash[] {
-    const suspect = this.#suspects.get(fingerprint)
-    return suspect === undefined ? [] : this.#current(suspect, now)
+    const record = this.#records.get(fingerprint)
+    return record === undefined ? [] : this.#unexpired(record, now)
   }
 
-  /** Lets go of what no longer counts, and of the rest where there is too much. Looks now and then only, however often it is called. */
+  /** Removes expired records, and evicts others where the table is too large. May be called at any rate: it does its work once per interval. */
   expire (now: number): void {
-    if (this.#suspects.size <= this.limits.most && now - this.#sweptAt < sweepMs) return
-    this.#sweptAt = now
-    for (const [fingerprint, suspect] of this.#suspects) {
-      // A sound run is kept as long as an end: reports of the ends that it voids may still be under way.
-      if (this.#current(suspect, now).length === 0 && now - suspect.soundAt >= this.limits.keepMs && now >= suspect.probeUntil) this.#suspects.delete(fingerprint)
+    if (this.#records.size <= this.limits.most && now - this.#expiredAt < expiryIntervalMs) return
+    this.#expiredAt = now
+    for (const [fingerprint, record] of this.#records) {
+      // A completed run is kept as long as a crash, since reports of crashes before it may still arrive.
+      if (this.#unexpired(record, now).length === 0 && now - record.completedAt >= this.limits.keepMs && now >= record.probeOnlyUntil) this.#records.delete(fingerprint)
     }
-    if (this.#suspects.size > this.limits.most) this.#makeRoom(now)
+    if (this.#records.size > this.limits.most) this.#evict(now)
   }
 
-  /** Keeps what is known of a request of which something new was heard. */
-  #heardOf (fingerprint: RequestFingerprint, suspect: Suspect, now: number): void {
-    const heldUntil = Math.max(this.#heldUntil(inRow(this.#current(suspect, now))), this.#probedUntil(suspect))
-    if (heldUntil > -Infinity) suspect.probeUntil = Math.max(suspect.probeUntil, heldUntil + this.limits.keepMs)
-    this.#suspects.delete(fingerprint)
-    this.#suspects.set(fingerprint, suspect)
+  /** Stores a changed record as the most recently updated one. */
+  #update (fingerprint: RequestFingerprint, record: RequestRecord, now: number): void {
+    const holdUntil = Math.max(this.#crashHoldUntil(consecutiveCrashes(this.#unexpired(record, now))), this.#probeHoldUntil(record))
+    if (holdUntil > -Infinity) record.probeOnlyUntil = Math.max(record.probeOnlyUntil, holdUntil + this.limits.keepMs)
+    this.#records.delete(fingerprint)
+    this.#records.set(fingerprint, record)
     this.expire(now)
   }
 
-  #probedUntil ({ probedAt }: Suspect): number {
+  /** Until when pending probes quarantine the request. */
+  #probeHoldUntil ({ pendingProbes }: RequestRecord): number {
     const { probes, probeMs, keepMs } = this.limits
-    if (probedAt.length === 0) return -Infinity
-    return Math.max(...probedAt) + (probedAt.length >= probes ? keepMs : probeMs)
+    if (pendingProbes.length === 0) return -Infinity
+    return Math.max(...pendingProbes) + (pendingProbes.length >= probes ? keepMs : probeMs)
   }
 
-  #heldUntil (row: readonly Crash[]): number {
+  /** Until when consecutive crashes quarantine the request. */
+  #crashHoldUntil (consecutive: readonly Crash[]): number {
     const { ends, holdMs, sureEnds, keepMs } = this.limits
-    const last = row.at(-1)
-    if (last === undefined || row.length < ends) return -Infinity
-    // Once this one no longer counts, it is one end too few.
-    const sure = row.at(-sureEnds)
-    return Math.max(last.endedAt + holdMs, sure === undefined ? -Infinity : sure.endedAt + keepMs)
+    const last = consecutive.at(-1)
+    if (last === undefined || consecutive.length < ends) return -Infinity
+    // Once this crash has expired, too few are left for the long quarantine.
+    const earliestNeeded = consecutive.at(-sureEnds)
+    return Math.max(last.endedAt + holdMs, earliestNeeded === undefined ? -Infinity : earliestNeeded.endedAt + keepMs)
   }
 
-  #current ({ crashes }: Suspect, now: number): Crash[] {
+  #unexpired ({ crashes }: RequestRecord, now: number): Crash[] {
     return [...crashes.values()].filter(crash => now - crash.endedAt < this.limits.keepMs)
   }
 
-  /** Those that are not quarantined go first, of them those longest without news. */
-  #makeRoom (now: number): void {
-    const fingerprints = [...this.#suspects.keys()]
+  /** Evicts requests that aren't quarantined before those that are, and the least recently updated first. */
+  #evict (now: number): void {
+    const fingerprints = [...this.#records.keys()]
     const free = fingerprints.filter(fingerprint => this.quarantine(fingerprint, now) === undefined)
-    const held = fingerprints.filter(fingerprint => this.quarantine(fingerprint, now) !== undefined)
-    const excess = Math.ceil(fingerprints.length - this.limits.most * keptShare)
-    for (const fingerprint of [...free, ...held].slice(0, excess)) this.#suspects.delete(fingerprint)
+    const quarantined = fingerprints.filter(fingerprint => this.quarantine(fingerprint, now) !== undefined)
+    const excess = Math.ceil(fingerprints.length - this.limits.most * evictionTarget)
+    for (const fingerprint of [...free, ...quarantined].slice(0, excess)) this.#records.delete(fingerprint)
   }
 }
 
-/** Each was sent after the server before it had ended. */
-const inRow = (crashes: readonly Crash[]): Crash[] => {
-  const row: Crash[] = []
-  // By name too, so that processes that heard of two ends in another order say the same.
+/** The crashes of which each run was sent after the server before it had crashed. */
+const consecutiveCrashes = (crashes: readonly Crash[]): Crash[] => {
+  const consecutive: Crash[] = []
+  // Ties are ordered by server, so that processes that learned of two crashes in a different order come to the same result.
   const ordered = [...crashes].sort((a, b) => a.endedAt - b.endedAt || (a.server < b.server ? -1 : 1))
   for (const crash of ordered) {
-    if (crash.sentAt >= (row.at(-1)?.endedAt ?? -Infinity)) row.push(crash)
+    if (crash.sentAt >= (consecutive.at(-1)?.endedAt ?? -Infinity)) consecutive.push(crash)
   }
-  return row
+  return consecutive
 }
--- a/packages/decisions/src/estimate.ts
+++ b/packages/decisions/src/estimate.ts
@@ -1,13 +1,15 @@
 /**
- * An estimate of a duration: an average that follows its last samples.
+ * An exponentially weighted moving average of durations.
  */
-const share = 0.2
+
+/** Weight of the latest sample. */
+const smoothing = 0.2
 
 export class Estimate {
   #value: number
 
-  constructor (first: number) {
-    this.#value = first
+  constructor (initial: number) {
+    this.#value = initial
   }
 
   get value (): number {
@@ -15,6 +17,6 @@
   }
 
   add (sample: number): void {
-    this.#value += share * (sample - this.#value)
+    this.#value += smoothing * (sample - this.#value)
   }
 }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** The decisions: plain functions and small tables, called by the tasks that hold the connections. */
+/** Decision logic without I/O: plain functions and small in-memory tables, for the modules that hold the connections. */
 export * from './preference.js'
 export * from './route.js'
 export * from './slot-choice.js'
--- a/packages/decisions/src/limit-ledger.ts
+++ b/packages/decisions/src/limit-ledger.ts
@@ -1,79 +1,80 @@
 /**
- * How many requests a second servers take, as they say it with their answers.
+ * Records the request rate that each server accepts, as it states it in its responses.
  *
- * Load pattern: a server in need names a figure, lowers and raises it, and names none once it is well. Its words cross each
- * other: answers of many requests come at many processes, and processes tell each other. A word was said at some moment between
- * the sending of its request and the coming of its answer. So a lower figure holds at once if it may be the newer word, and a
- * higher one, or none, only if it surely is: its request was sent after the lower one had come.
+ * An overloaded server states a limit, lowers and raises it, and drops it once it has recovered. Its statements arrive out of order:
+ * many processes receive responses from it and pass on what they read. All that is known of a statement is that it was made between
+ * the sending of the request and the arrival of the response. A lower limit is therefore applied at once if it may be the more
+ * recent one, and a higher one, or none, only if it certainly is: if its request was sent after the response with the lower one had
+ * arrived.
  */
 
-/** What one answer said. */
+/** The limit that one response stated. */
 export interface LimitWord {
-  /** One life of one server. */
+  /** One incarnation of a server; a restarted server counts as another one. */
   server: string
-  /** Requests a second from all entries together; `Infinity` where it named no limit. */
+  /** Requests per second from all entry processes together; `Infinity` for no limit. */
   perSecond: number
-  /** When the request was sent, on the holder's steady clock, */
+  /** When the request was sent, on the monotonic clock of this process. */
   sentAt: number
-  /** and when its answer came. */
+  /** When the response arrived, on the same clock. */
   heardAt: number
 }
 
-/** A limit of which nobody has heard for so long, or its end. */
-const keepMs = 600_000
-/** The servers of a large deployment, and as many of their former lives. */
-const mostKept = 6000
+/** A limit, or the statement that there is none, expires when it has not been stated again for this long. */
+const retentionMs = 600_000
+/** Covers the servers of a large deployment, and as many former incarnations. */
+const maxServers = 6000
 
 export class LimitLedger {
-  /** The one that was heard last is last. */
-  readonly #words = new Map<string, LimitWord>()
+  /** In the order of their last statements, the least recent first. */
+  readonly #limits = new Map<string, LimitWord>()
 
   get size (): number {
-    return this.#words.size
+    return this.#limits.size
   }
 
-  /** Requests a second that the server takes; `Infinity` where it is not known to have named a limit. */
+  /** Requests per second that the server accepts; `Infinity` if no limit is known. */
   perSecond (server: string): number {
-    return this.#words.get(server)?.perSecond ?? Infinity
+    return this.#limits.get(server)?.perSecond ?? Infinity
   }
 
-  /** Takes in a word. Says whether another figure holds now. */
-  note (word: LimitWord): boolean {
-    const known = this.#words.get(word.server)
+  /** Records a statement. Returns true if that changed the limit in effect. */
+  note (limit: LimitWord): boolean {
+    const known = this.#limits.get(limit.server)
     if (known === undefined) {
-      if (word.perSecond === Infinity) return false
-      this.#keep(word)
+      if (limit.perSecond === Infinity) return false
+      this.#store(limit)
       return true
     }
-    if (word.perSecond === known.perSecond) {
-      this.#keep({ ...word, sentAt: Math.max(word.sentAt, known.sentAt), heardAt: Math.max(word.heardAt, known.heardAt) })
+    if (limit.perSecond === known.perSecond) {
+      this.#store({ ...limit, sentAt: Math.max(limit.sentAt, known.sentAt), heardAt: Math.max(limit.heardAt, known.heardAt) })
       return false
     }
-    const holds = word.perSecond < known.perSecond ? word.heardAt > known.sentAt : word.sentAt >= known.heardAt
-    if (holds) this.#keep(word)
+    const holds = limit.perSecond < known.perSecond ? limit.heardAt > known.sentAt : limit.sentAt >= known.heardAt
+    if (holds) this.#store(limit)
     return holds
   }
 
-  /** The limits that hold. */
+  /** The limits in effect. */
   limits (): LimitWord[] {
-    return [...this.#words.values()].filter(word => word.perSecond !== Infinity)
+    return [...this.#limits.values()].filter(limit => limit.perSecond !== Infinity)
   }
 
-  /** The server is gone for good. */
+  /** Removes a server that will not come back. */
   forget (server: string): void {
-    this.#words.delete(server)
+    this.#limits.delete(server)
   }
 
   expire (now: number): void {
-    for (const [server, { heardAt }] of this.#words) if (now - heardAt > keepMs) this.#words.delete(server)
+    for (const [server, { heardAt }] of this.#limits) if (now - heardAt > retentionMs) this.#limits.delete(server)
   }
 
-  #keep (word: LimitWord): void {
-    this.#words.delete(word.server)
-    this.#words.set(word.server, word)
-    for (const oldest of this.#words.keys()) {
-      if (this.#words.size <= mostKept) return
-      this.#words.delete(oldest)
+  #store (limit: LimitWord): void {
+    this.#limits.delete(limit.server)
+    this.#limits.set(limit.server, limit)
+    for (const oldest of this.#limits.keys()) {
+      if (this.#limits.size <= maxServers) return
+      this.#limits.delete(oldest)
     }
   }
 }
--- a/packages/decisions/src/limit.ts
+++ b/packages/decisions/src/limit.ts
@@ -1,22 +1,22 @@
 /**
- * Limits: how much one team may ask of one entry, and how many retries a process may add to its own load.
+ * Token buckets: one limits the request rate of a team at one entry process, the other the retries that a process adds to its own load.
  */
 
-/** A bucket of tokens that fills at `rate` a second up to one second's worth. */
+/** A token bucket that refills at `rate` tokens per second and holds one second's worth of them. */
 export class RateLimit {
   #tokens: number
-  #at: number
+  #refilledAt: number
 
   constructor (private readonly rate: number, now: number) {
     this.#tokens = Math.max(1, rate)
-    this.#at = now
+    this.#refilledAt = now
   }
 
-  /** 0 when admitted, else the milliseconds until the next token. */
+  /** Takes a token and returns 0, or returns the milliseconds until the next token is available. */
   take (now: number): number {
-    const size = Math.max(1, this.rate)
-    this.#tokens = Math.min(size, this.#tokens + Math.max(0, now - this.#at) * this.rate / 1000)
-    this.#at = now
+    const capacity = Math.max(1, this.rate)
+    this.#tokens = Math.min(capacity, this.#tokens + Math.max(0, now - this.#refilledAt) * this.rate / 1000)
+    this.#refilledAt = now
     if (this.#tokens >= 1) {
       this.#tokens -= 1
       return 0
@@ -25,22 +25,22 @@
   }
 }
 
-/** Retries earn their place from first tries: at most a fifth on top, and a few to begin with. */
-const earnedPerRequest = 0.2
-const mostRetries = 20
+/** Retries may add a fifth to the load of first tries, beyond the tokens that the bucket starts with. */
+const tokensPerRequest = 0.2
+const maxTokens = 20
 
 export class RetryBudget {
-  #left = mostRetries
+  #tokens = maxTokens
 
   /** Counts a first try. */
   earn (): void {
-    this.#left = Math.min(mostRetries, this.#left + earnedPerRequest)
+    this.#tokens = Math.min(maxTokens, this.#tokens + tokensPerRequest)
   }
 
-  /** Whether one more retry may be made. */
+  /** Takes the token for one retry; returns false if none is left. */
   spend (): boolean {
-    if (this.#left < 1) return false
-    this.#left -= 1
+    if (this.#tokens < 1) return false
+    this.#tokens -= 1
     return true
   }
 }
--- a/packages/decisions/src/outlier.ts
+++ b/packages/decisions/src/outlier.ts
@@ -1,63 +1,67 @@
 /**
- * Outliers: backend servers that fail what they are sent, put out for a while by what their requests met.
+ * Outlier detection: ejects a backend server for a while when too many of its requests fail.
  *
- * Its own failures are all that counts, since a failing server's health check may be good. Each ejection is longer
- * than the one before; after it the server is on probation, where one failure ejects it again.
+ * Only the failures of its own requests count, since the health check of a failing server may still pass. Each ejection is longer
+ * than the one before. After an ejection the server is on probation, during which one failure ejects it again.
  */
 
 export interface OutlierLimits {
-  /** Failures in a row that eject. */
+  /** Consecutive failures that eject the server. */
   inRow: number
-  /** Share of failures among the last requests that ejects, once `least` were seen. */
+  /** Ratio of failures, as a moving average over the last requests, above which the server is ejected. */
   share: number
+  /** Requests that must have been counted before the ratio applies. */
   least: number
+  /** Length of the first ejection; each further one is twice as long. */
   firstMs: number
+  /** Maximum length of an ejection. */
   limitMs: number
 }
 
-/** How much the last result counts in the share of failures. */
-const weight = 0.12
+/** Weight of the latest result in the moving average of failures. */
+const smoothing = 0.12
 
 export class Outlier {
-  #inRow = 0
-  #share = 0
-  #seen = 0
+  #consecutiveFailures = 0
+  #failureRatio = 0
+  #requests = 0
   #ejections = 0
-  #until = -Infinity
+  #ejectedUntil = -Infinity
 
   constructor (private readonly limits: OutlierLimits) {}
 
   get until (): number {
-    return this.#until
+    return this.#ejectedUntil
   }
 
   ejected (now: number): boolean {
-    return now < this.#until
+    return now < this.#ejectedUntil
   }
 
+  /** Counts a success. Probation ends, and ejections start short again, once the failure ratio is below half of its limit. */
   succeeded (): void {
-    this.#inRow = 0
-    this.#seen += 1
-    this.#share -= this.#share * weight
-    if (this.#share < this.limits.share / 2) this.#ejections = 0
+    this.#consecutiveFailures = 0
+    this.#requests += 1
+    this.#failureRatio -= this.#failureRatio * smoothing
+    if (this.#failureRatio < this.limits.share / 2) this.#ejections = 0
   }
 
-  /** Counts a failure; says whether it ejected the server. */
+  /** Counts a failure. Returns true if it ejected the server. */
   failed (now: number): boolean {
-    this.#inRow += 1
-    this.#seen += 1
-    this.#share += (1 - this.#share) * weight
+    this.#consecutiveFailures += 1
+    this.#requests += 1
+    this.#failureRatio += (1 - this.#failureRatio) * smoothing
     const { inRow, share, least } = this.limits
     const probation = this.#ejections > 0 && !this.ejected(now)
-    const over = this.#inRow >= inRow || (this.#seen >= least && this.#share > share)
-    return (probation || over) && this.eject(now)
+    const exceeded = this.#consecutiveFailures >= inRow || (this.#requests >= least && this.#failureRatio > share)
+    return (probation || exceeded) && this.eject(now)
   }
 
-  /** Puts the server out at once: it can't be reached at all. */
+  /** Ejects the server at once, for instance when it can't be reached. Returns false if it was ejected already. */
   eject (now: number): boolean {
     if (this.ejected(now)) return false
     const { firstMs, limitMs } = this.limits
-    this.#until = now + Math.min(limitMs, firstMs * 2 ** this.#ejections)
+    this.#ejectedUntil = now + Math.min(limitMs, firstMs * 2 ** this.#ejections)
     this.#ejections += 1
     return true
   }
--- a/packages/decisions/src/preference.ts
+++ b/packages/decisions/src/preference.ts
@@ -1,11 +1,12 @@
 /**
- * Preference: which side processes should hold an adapter, in order, the same at every entry.
+ * Rendezvous hashing: an ordered list of candidates for a key, for instance of the side processes that should hold an adapter. Every
+ * process that has the same candidates computes the same list.
  *
- * Rendezvous hashing: each candidate's score for a key depends on nothing else, so when a candidate comes or goes
- * only the keys that it led move. Places on the list alternate between failure domains as far as there are any.
+ * The score of a candidate depends on the key and the candidate alone, so when a candidate is added or removed, only the keys move
+ * for which it is the first. The list has one candidate of each failure domain before it has a second one of any.
  *
- * A key and a name are hashed once each; a score only mixes the two, which keeps a list over a thousand candidates
- * in the microseconds.
+ * A key and a name are hashed once each, and a score only mixes the two hashes, so that a list over a thousand candidates takes
+ * microseconds.
  */
 import murmurhash from 'murmurhash'
 
@@ -22,7 +23,7 @@
 export const hashed = <C extends Candidate>(candidates: readonly C[]): Array<HashedCandidate<C>> =>
   candidates.map(candidate => ({ candidate, hash: murmurhash.v3(candidate.process) }))
 
-/** MurmurHash3's finalizer, by Austin Appleby: every bit of the input moves every bit of the output. */
+/** The finalizer of MurmurHash3, by Austin Appleby: every bit of the input affects every bit of the output. */
 const mix = (value: number): number => {
   let mixed = value
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b)
@@ -30,41 +31,42 @@
   return (mixed ^ (mixed >>> 16)) >>> 0
 }
 
-/** How much a key belongs to a candidate, from 0 to 1, by the hashes of both. */
+/** The rendezvous score of a candidate for a key, at least 0 and below 1, from the hashes of both. */
 export const affinityOf = (keyHash: number, candidateHash: number): number => mix(keyHash ^ candidateHash) / 2 ** 32
 
 export const hashOf = (name: string): number => murmurhash.v3(name)
 
-/** The best candidate whose domain isn't in `used`. */
-const best = <C extends Candidate>(key: number, candidates: ReadonlyArray<HashedCandidate<C>>, chosen: ReadonlySet<C>, used: ReadonlySet<string>): C | undefined => {
-  let leader: HashedCandidate<C> | undefined
-  let leading = -1
+/** The candidate with the highest score, of those that aren't chosen and whose domain isn't used; a tie goes by name. */
+const highestScore = <C extends Candidate>(keyHash: number, candidates: ReadonlyArray<HashedCandidate<C>>, chosen: ReadonlySet<C>, usedDomains: ReadonlySet<string>): C | undefined => {
+  let best: HashedCandidate<C> | undefined
+  let bestScore = -1
   for (const each of candidates) {
-    const score = mix(key ^ each.hash)
-    if (score < leading || used.has(each.candidate.domain) || chosen.has(each.candidate)) continue
-    const wins = score > leading || leader === undefined || each.candidate.process < leader.candidate.process
+    const score = mix(keyHash ^ each.hash)
+    if (score < bestScore || usedDomains.has(each.candidate.domain) || chosen.has(each.candidate)) continue
+    const wins = score > bestScore || best === undefined || each.candidate.process < best.candidate.process
     if (!wins) continue
-    leader = each
-    leading = score
+    best = each
+    bestScore = score
   }
-  return leader?.candidate
+  return best?.candidate
 }
 
-const nowhere: ReadonlySet<string> = new Set()
+const noDomains: ReadonlySet<string> = new Set()
 
 /** The first `length` candidates for `key`, spread over failure domains. */
 export const preferHashed = <C extends Candidate>(key: string, candidates: ReadonlyArray<HashedCandidate<C>>, length: number): C[] => {
   const keyHash = murmurhash.v3(key)
   const chosen = new Set<C>()
-  const used = new Set<string>()
+  const usedDomains = new Set<string>()
   while (chosen.size < Math.min(length, candidates.length)) {
-    const next = best(keyHash, candidates, chosen, used) ?? best(keyHash, candidates, chosen, nowhere)
+    const next = highestScore(keyHash, candidates, chosen, usedDomains) ?? highestScore(keyHash, candidates, chosen, noDomains)
     if (next === undefined) break
     chosen.add(next)
-    used.add(next.domain)
+    usedDomains.add(next.domain)
   }
   return [...chosen]
 }
 
+/** The same for candidates that aren't hashed yet. */
 export const prefer = <C extends Candidate>(key: string, candidates: readonly C[], length: number): C[] =>
   preferHashed(key, hashed(candidates), length)
--- a/packages/decisions/src/queue.ts
+++ b/packages/decisions/src/queue.ts
@@ -1,8 +1,8 @@
 /**
- * The order of a queue: class first, then the team that has had least for its weight, then the deadline.
+ * The order of queued requests: by priority class, then by the usage of the team in proportion to its weight, then by deadline.
  *
- * The overnight batch ages: once a request has waited `agedMs` it counts as the next better class, so a steady
- * stream of desk work slows it and never starves it.
+ * Requests age: for each `agingIntervalMs` that a request has waited, it counts as one class higher. A steady stream of interactive
+ * requests therefore delays the overnight batch but can't starve it.
  */
 import { workClasses, type WorkClass } from '@finchpitch/core'
 
@@ -16,45 +16,47 @@
   deadline: number
 }
 
-export const rank = (waiting: Waiting, now: number): number => {
-  const aged = Math.floor((now - waiting.since) / agedMs)
-  return Math.max(0, workClasses.indexOf(waiting.class) - aged)
+/** The class of a request after aging; 0 is served first. */
+export const rank = (request: Waiting, now: number): number => {
+  const agedBy = Math.floor((now - request.since) / agedMs)
+  return Math.max(0, workClasses.indexOf(request.class) - agedBy)
 }
 
-/** What each team has had, per weight; the lowest is served first. */
+/** Requests served for each team, divided by its weight; the team with the lowest number is served first. */
 export class Shares {
-  readonly #used = new Map<string, number>()
+  readonly #usage = new Map<string, number>()
 
-  /** Takes a team in that has something waiting: it starts level with the least served. */
+  /** Adds a team that has a request in the queue. It starts with the lowest usage of any team, so its idle time earns it no lead. */
   join (team: string): void {
-    if (!this.#used.has(team)) this.#used.set(team, this.#floor())
+    if (!this.#usage.has(team)) this.#usage.set(team, this.#lowest())
   }
 
   used (team: string): number {
-    return this.#used.get(team) ?? this.#floor()
+    return this.#usage.get(team) ?? this.#lowest()
   }
 
+  /** Counts one served request. */
   charge (team: string, weight: number): void {
-    this.#used.set(team, this.used(team) + 1 / weight)
+    this.#usage.set(team, this.used(team) + 1 / weight)
   }
 
-  /** Drops the teams that have nothing waiting. */
+  /** Removes all teams but those given. */
   keep (teams: ReadonlySet<string>): void {
-    for (const team of this.#used.keys()) {
-      if (!teams.has(team)) this.#used.delete(team)
+    for (const team of this.#usage.keys()) {
+      if (!teams.has(team)) this.#usage.delete(team)
     }
   }
 
-  #floor (): number {
-    return this.#used.size === 0 ? 0 : Math.min(...this.#used.values())
+  #lowest (): number {
+    return this.#usage.size === 0 ? 0 : Math.min(...this.#usage.values())
   }
 }
 
-/** Whether `a` goes before `b`. */
+/** Whether `a` is served before `b`. */
 export const before = (a: Waiting, b: Waiting, shares: Shares, now: number): boolean => {
   const byClass = rank(a, now) - rank(b, now)
   if (byClass !== 0) return byClass < 0
-  const byShare = shares.used(a.team) - shares.used(b.team)
-  if (byShare !== 0) return byShare < 0
+  const byUsage = shares.used(a.team) - shares.used(b.team)
+  if (byUsage !== 0) return byUsage < 0
   return a.deadline < b.deadline
 }
--- a/packages/decisions/src/rest.ts
+++ b/packages/decisions/src/rest.ts
@@ -1,53 +1,54 @@
 /**
- * Rest that a backend server asked for: whether it may be sent requests, and how many at once after the rest.
+ * A backoff that a backend server requested: whether requests may be sent to it, and how many at once after the backoff.
  *
- * Load pattern: a server that is overloaded turns requests away and names a time in which it wants none. That is no failure of
- * the server and says nothing of the request, so failures are counted elsewhere. Sent all that waited for it as the rest ends, it
- * would ask for rest again; so it first gets one request, and room grows once that is answered.
+ * An overloaded server rejects requests and names a time in which it wants none. That is no failure of the server and says nothing
+ * about the request, so failures are counted elsewhere. If all waiting requests were sent to it when the backoff ends, it would ask
+ * for another one. So it first gets a single request, and its concurrency limit ramps up once that request has been answered.
  */
 
-/** The longest rest that is believed; after it one request asks again. */
+/** Longer backoffs are cut to this; then one request finds out whether the server still wants none. */
 export const longestRestMs = 600_000
 
-/** After the first answer, room grows from one request to all over this time. */
+/** After the first answer, the concurrency limit ramps up from one request to all slots over this time. */
 const rampMs = 1000
 
 export class Rest {
-  #until = -Infinity
-  /** When the first request after the rest was answered; `undefined` until then. */
-  #servedAt: number | undefined = -Infinity
+  #activeUntil = -Infinity
+  /** When the first request after the backoff was answered; `undefined` until then. */
+  #answeredAt: number | undefined = -Infinity
 
-  /** It wants nothing for `ms` from `now` on; a shorter one does not end a longer one. Says whether it had not been resting. */
+  /** Backs off for `ms` from `now`; never ends an earlier backoff sooner. Returns true if none was in effect. */
   ask (ms: number, now: number): boolean {
-    const began = !this.resting(now)
-    this.#until = Math.max(this.#until, now + Math.min(ms, longestRestMs))
-    this.#servedAt = undefined
-    return began
+    const started = !this.resting(now)
+    this.#activeUntil = Math.max(this.#activeUntil, now + Math.min(ms, longestRestMs))
+    this.#answeredAt = undefined
+    return started
   }
 
+  /** Whether the backoff is in effect, so that no request may be sent. */
   resting (now: number): boolean {
-    return now < this.#until
+    return now < this.#activeUntil
   }
 
   leftMs (now: number): number {
-    return Math.max(0, this.#until - now)
+    return Math.max(0, this.#activeUntil - now)
   }
 
-  /** It answered a request without asking for rest. */
+  /** Records an answer that requested no backoff. */
   answered (now: number): void {
-    if (!this.resting(now)) this.#servedAt ??= now
+    if (!this.resting(now)) this.#answeredAt ??= now
   }
 
-  /** Whether it may be sent as much as ever. */
+  /** Whether the ramp-up is complete, so that the server has no limit any more. */
   over (now: number): boolean {
-    return !this.resting(now) && this.#servedAt !== undefined && now - this.#servedAt >= rampMs
+    return !this.resting(now) && this.#answeredAt !== undefined && now - this.#answeredAt >= rampMs
   }
 
-  /** How many requests it may have in progress, of `slots` that it works on at once. */
+  /** The number of requests that the server may have in progress; `slots` is how many it processes at once. */
   room (slots: number, now: number): number {
     if (this.resting(now)) return 0
     if (this.over(now)) return Infinity
-    const shareMs = this.#servedAt === undefined ? 0 : now - this.#servedAt
-    return 1 + Math.floor(slots * shareMs / rampMs)
+    const rampedMs = this.#answeredAt === undefined ? 0 : now - this.#answeredAt
+    return 1 + Math.floor(slots * rampedMs / rampMs)
   }
 }
--- a/packages/decisions/src/retry-window.ts
+++ b/packages/decisions/src/retry-window.ts
@@ -1,48 +1,49 @@
 /**
- * A retry budget over a sliding window: repeats are limited to a share of the first tries of the same window, and a
- * slack that lets single failures through when there is little traffic.
+ * A retry budget over a sliding window: retries are limited to a ratio of the first tries in the same window, plus a fixed slack
+ * that allows single retries when there is little traffic.
  */
 
 export interface RetryShare {
-  /** Repeats for each first try. */
+  /** Retries allowed for each first try. */
   ratio: number
-  /** Repeats allowed a window whatever the traffic. */
+  /** Retries allowed per window whatever the traffic. */
   slack: number
   windowMs: number
 }
 
 interface Bucket {
   at: number
-  firsts: number
-  repeats: number
+  firstTries: number
+  retries: number
 }
 
-/** The window is counted in this many pieces; one more is kept, so the count is never over less than the window. */
-const pieces = 20
+/** Buckets per window. One more is kept, so that the counts always cover at least the whole window. */
+const bucketsPerWindow = 20
 
 export class RetryWindow {
   #buckets: Bucket[] = []
 
+  /** Counts a first try. */
   first (now: number, windowMs: number): void {
-    this.#bucket(now, windowMs).firsts += 1
+    this.#currentBucket(now, windowMs).firstTries += 1
   }
 
-  /** Takes one repeat, if the window has one left. */
+  /** Counts a retry if the budget allows one; returns false if it doesn't. */
   repeat (now: number, { ratio, slack, windowMs }: RetryShare): boolean {
-    const bucket = this.#bucket(now, windowMs)
-    const firsts = this.#buckets.reduce((sum, each) => sum + each.firsts, 0)
-    const repeats = this.#buckets.reduce((sum, each) => sum + each.repeats, 0)
-    if (repeats + 1 > ratio * firsts + slack) return false
-    bucket.repeats += 1
+    const bucket = this.#currentBucket(now, windowMs)
+    const firstTries = this.#buckets.reduce((sum, each) => sum + each.firstTries, 0)
+    const retries = this.#buckets.reduce((sum, each) => sum + each.retries, 0)
+    if (retries + 1 > ratio * firstTries + slack) return false
+    bucket.retries += 1
     return true
   }
 
-  #bucket (now: number, windowMs: number): Bucket {
-    const length = windowMs / pieces
-    this.#buckets = this.#buckets.filter(each => now - each.at < windowMs + length)
+  #currentBucket (now: number, windowMs: number): Bucket {
+    const bucketMs = windowMs / bucketsPerWindow
+    this.#buckets = this.#buckets.filter(each => now - each.at < windowMs + bucketMs)
     const last = this.#buckets.at(-1)
-    if (last !== undefined && now - last.at < length) return last
-    const bucket = { at: now, firsts: 0, repeats: 0 }
+    if (last !== undefined && now - last.at < bucketMs) return last
+    const bucket = { at: now, firstTries: 0, retries: 0 }
     this.#buckets.push(bucket)
     return bucket
   }
--- a/packages/decisions/src/route.ts
+++ b/packages/decisions/src/route.ts
@@ -1,31 +1,32 @@
 /**
- * Routing: which of an adapter's preferred side processes gets the next request.
+ * Hashing with bounded loads: selects the side process for the next request from the rendezvous list of its adapter.
  *
- * Bounded load: the first on the list that is not fuller than the others by more than `headroom`. A hot adapter
- * overflows to the next on its list, which then holds a replica; when it cools, its requests return to the first
- * and the replica's slot falls free. Reports lag, so one's own requests in flight are counted on top.
+ * The first process on the list is selected whose utilization doesn't exceed the average of the list by more than a fixed factor.
+ * Requests for a hot adapter overflow to the next process on its list, which then loads a replica. When the load falls, they return
+ * to the first process, and the slot of the replica becomes free. Load reports lag, so requests that were sent from here since the
+ * last report are added to it.
  */
 
 export interface Occupancy {
-  /** Requests waiting and running there by its last report. */
+  /** Requests queued and running at the process, by its last report. */
   reported: number
-  /** One's own requests sent there since that report. */
+  /** Requests sent from here since that report. */
   sentSince: number
-  /** Requests it runs at once. */
+  /** Requests that the process runs at once. */
   capacity: number
 }
 
-/** How much fuller than the average of the list a process may be and still be chosen for its place on it. */
-const headroom = 1.25
+/** A process below this multiple of the average utilization is selected by its position on the list. */
+const loadFactor = 1.25
 
 export const fullness = ({ reported, sentSince, capacity }: Occupancy): number => (reported + sentSince) / capacity
 
-/** The index into `list` to send to; -1 for an empty list. */
+/** The index in `list` of the process to send to; -1 for an empty list. */
 export const route = (list: readonly Occupancy[]): number => {
   if (list.length === 0) return -1
-  const levels = list.map(fullness)
-  const average = levels.reduce((sum, level) => sum + level, 0) / levels.length
-  const bound = Math.max(1, headroom * average)
-  const first = levels.findIndex(level => level < bound)
-  return first >= 0 ? first : levels.indexOf(Math.min(...levels))
+  const utilizations = list.map(fullness)
+  const average = utilizations.reduce((sum, utilization) => sum + utilization, 0) / utilizations.length
+  const bound = Math.max(1, loadFactor * average)
+  const first = utilizations.findIndex(utilization => utilization < bound)
+  return first >= 0 ? first : utilizations.indexOf(Math.min(...utilizations))
 }
--- a/packages/decisions/src/slot-choice.ts
+++ b/packages/decisions/src/slot-choice.ts
@@ -1,7 +1,7 @@
 /**
- * Which adapter to put out of a slot: the one that is cheapest to load again, by what is expected of it.
+ * Selects the adapter to evict from a slot: the one whose reload has the lowest expected cost, its popularity times its load time.
  *
- * Popularity is a count that halves every `halfLifeMs`, so yesterday's hot adapter makes room for today's.
+ * Popularity is a use count with exponential decay, so that an adapter that was popular yesterday makes room for today's.
  */
 import { DecayingSum } from './decaying-sum.js'
 
@@ -20,7 +20,7 @@
     this.#uses.add(1, now)
   }
 
-  /** The aged count. */
+  /** The decayed use count. */
   at (now: number): number {
     return this.#uses.at(now)
   }
@@ -28,17 +28,17 @@
 
 export interface Resident {
   label: string
-  /** Requests that use the slot now. */
+  /** Requests that use the adapter now. */
   pins: number
   popularity: number
-  /** What its load took, in milliseconds. */
+  /** How long its load took. */
   loadMs: number
 }
 
-/** The label to put out; `undefined` while every slot is in use. */
+/** The label of the adapter to evict; `undefined` while all are in use. */
 export const evict = (residents: readonly Resident[]): string | undefined => {
-  const cost = (resident: Resident): number => resident.popularity * resident.loadMs
+  const reloadCost = (resident: Resident): number => resident.popularity * resident.loadMs
   const idle = residents.filter(resident => resident.pins === 0)
   return idle.reduce<Resident | undefined>((cheapest, resident) =>
-    cheapest === undefined || cost(resident) < cost(cheapest) ? resident : cheapest, undefined)?.label
+    cheapest === undefined || reloadCost(resident) < reloadCost(cheapest) ? resident : cheapest, undefined)?.label
 }
--- a/packages/decisions/src/token-stock.ts
+++ b/packages/decisions/src/token-stock.ts
@@ -1,23 +1,28 @@
 /**
- * Tokens of a quota by when they were earned. Each may be spent for a while only, wherever it went in between.
+ * Quota tokens by the time at which they were earned. A token may only be spent within a fixed lifetime, also after it has been
+ * passed to another process.
  *
- * So whatever is spent in a window was earned in that window or up to one life before it: at most the rate times the window
- * and the life, however many processes hold tokens and whoever hears whom.
+ * Whatever is spent in a window was therefore earned in that window or at most one lifetime before it. That bounds the spending in
+ * any window to the rate times the sum of window and lifetime, however many processes hold tokens and whichever of them are
+ * connected.
  */
+
+/** Tokens that were earned at about the same time. */
 export interface TokenSlice {
   tokens: number
-  /** On the holder's elapsed clock; the oldest of its tokens. */
+  /** When the oldest of the tokens was earned, on the holder's clock of elapsed time. */
   earnedAt: number
 }
 
-/** Never below 0: a slice may be earned between the moment looked at and the look. */
+/** Never negative: a slice may be earned between the caller's reading of the clock and this call. */
 export const ageOf = ({ earnedAt }: TokenSlice, now: number): number => Math.max(0, now - earnedAt)
 
 export const tokensIn = (slices: readonly TokenSlice[]): number => slices.reduce((sum, slice) => sum + slice.tokens, 0)
 
 /**
- * Tokens of one such step are kept as one slice, all as old as its start. It bounds the slices that a stock has, 40 for the
- * longest life, wherever its tokens come from, and costs a token at most this much of its life in each stock.
+ * Tokens that were earned within the same interval of this length form one slice, dated at the start of the interval. That bounds
+ * the number of slices, to 40 for the longest lifetime, from whichever processes the tokens come. It costs a token at most this much
+ * of its lifetime in each process that it passes through.
  */
 const sliceMs = 100
 
@@ -27,57 +32,57 @@
 
   add (tokens: number, earnedAt: number): void {
     if (tokens <= 0) return
-    const step = Math.floor(earnedAt / sliceMs) * sliceMs
-    let at = this.#slices.length
-    while (at > 0 && (this.#slices[at - 1]?.earnedAt ?? -Infinity) > step) at -= 1
-    const before = this.#slices[at - 1]
-    if (before?.earnedAt === step) before.tokens += tokens
-    else this.#slices.splice(at, 0, { tokens, earnedAt: step })
+    const start = Math.floor(earnedAt / sliceMs) * sliceMs
+    let index = this.#slices.length
+    while (index > 0 && (this.#slices[index - 1]?.earnedAt ?? -Infinity) > start) index -= 1
+    const previous = this.#slices[index - 1]
+    if (previous?.earnedAt === start) previous.tokens += tokens
+    else this.#slices.splice(index, 0, { tokens, earnedAt: start })
   }
 
   addAll (slices: readonly TokenSlice[]): void {
     for (const { tokens, earnedAt } of slices) this.add(tokens, earnedAt)
   }
 
-  /** What can still be spent of what was earned since `since`. */
+  /** The number of tokens that were earned at `since` or later; older ones are dropped. */
   total (since: number): number {
-    this.#drop(since)
+    this.#dropExpired(since)
     return tokensIn(this.#slices)
   }
 
-  /** So many tokens, the oldest first; none where there are fewer. */
+  /** Takes exactly `tokens`, the oldest first; takes none and returns `undefined` if there are fewer. */
   take (tokens: number, since: number): TokenSlice[] | undefined {
     return this.total(since) < tokens ? undefined : this.takeUpTo(tokens, since)
   }
 
-  /** So many tokens or what there is, the oldest first. */
+  /** Takes `tokens`, or as many as there are, the oldest first. */
   takeUpTo (tokens: number, since: number): TokenSlice[] {
-    this.#drop(since)
+    this.#dropExpired(since)
     const taken: TokenSlice[] = []
-    let left = tokens
-    for (let slice = this.#slices[0]; slice !== undefined && left > 0; slice = this.#slices[0]) {
-      const part = Math.min(left, slice.tokens)
-      taken.push({ tokens: part, earnedAt: slice.earnedAt })
-      slice.tokens -= part
-      left -= part
+    let missing = tokens
+    for (let slice = this.#slices[0]; slice !== undefined && missing > 0; slice = this.#slices[0]) {
+      const amount = Math.min(missing, slice.tokens)
+      taken.push({ tokens: amount, earnedAt: slice.earnedAt })
+      slice.tokens -= amount
+      missing -= amount
       if (slice.tokens <= 0) this.#slices.shift()
     }
     return taken
   }
 
-  #drop (since: number): void {
+  #dropExpired (since: number): void {
     while ((this.#slices[0]?.earnedAt ?? Infinity) < since) this.#slices.shift()
   }
 }
 
 export interface QuotaRate {
-  /** Tokens a second. */
+  /** Tokens per second. */
   perSecond: number
-  /** Tokens on top, at once. */
+  /** Tokens that may be spent at once beyond the rate. */
   burst: number
 }
 
-/** What may be spent in any window: (rate x window + burst) x (1 + overage) + slack. */
+/** Limits the spending in any window to (rate x window + burst) x (1 + overage) + slack. */
 export interface QuotaBound {
   windowMs: number
   overage: number
@@ -85,25 +90,26 @@
 }
 
 /**
- * The part of the longest life that is used. The rest covers shares that were divided by too few entries: at the rates seen
- * (burst of one second, slack of half a second to four) some tenth more of them may exist than are known.
+ * Share of the longest lifetime allowed by the bound that is used. The rest is a margin for rates that were divided among too few
+ * entry processes: at the rates seen (burst of one second, slack of half a second to four), about a tenth more of them may exist
+ * than are known.
  */
-const lifeShare = 0.6
-/** A quota with much slack would let old tokens pile up, and a burst that a team saved for so long serves nobody better. */
-const longestLifeMs = 4000
+const lifetimeShare = 0.6
+/** A quota with much slack would let old tokens pile up, and a team gains nothing from a burst saved up for longer. */
+const maxLifetimeMs = 4000
 
-/** Two exchanges between entries: with a shorter life nothing would reach those that need it. */
-const shortestLifeMs = 500
+/** Two exchanges between entry processes: tokens with a shorter lifetime would expire before they reach those that need them. */
+const minLifetimeMs = 500
 
-const mostInWindow = ({ perSecond, burst }: QuotaRate, { windowMs, overage, slack }: QuotaBound): number =>
+const maxInWindow = ({ perSecond, burst }: QuotaRate, { windowMs, overage, slack }: QuotaBound): number =>
   (perSecond * windowMs / 1000 + burst) * (1 + overage) + slack
 
-/** How long a token may be spent after it was earned, so that no window holds more than the bound. */
+/** How long a token may be spent after it was earned, so that no window exceeds the bound. */
 export const tokenLifeMs = (rate: QuotaRate, bound: QuotaBound): number => {
-  const spareMs = mostInWindow(rate, bound) / rate.perSecond * 1000 - bound.windowMs
-  return Math.max(shortestLifeMs, Math.min(longestLifeMs, spareMs * lifeShare))
+  const spareMs = maxInWindow(rate, bound) / rate.perSecond * 1000 - bound.windowMs
+  return Math.max(minLifetimeMs, Math.min(maxLifetimeMs, spareMs * lifetimeShare))
 }
 
-/** Tokens that are earned a second: the quota's rate, or less where its bound leaves less than the shortest life. */
+/** Tokens earned per second: the rate of the quota, or less where the bound doesn't leave even the shortest lifetime. */
 export const earnedPerSecond = (rate: QuotaRate, bound: QuotaBound): number =>
-  Math.min(rate.perSecond, mostInWindow(rate, bound) / (bound.windowMs + tokenLifeMs(rate, bound)) * 1000)
+  Math.min(rate.perSecond, maxInWindow(rate, bound) / (bound.windowMs + tokenLifeMs(rate, bound)) * 1000)
--- a/packages/decisions/test/crash-ledger.test.ts
+++ b/packages/decisions/test/crash-ledger.test.ts
@@ -8,46 +8,46 @@
 const bad = fingerprint('bad')
 const crash = (server: string, sentAt: number, endedAt: number, of = bad): Crash => ({ fingerprint: of, server, sentAt, endedAt })
 
-describe('requests under which servers ended', () => {
+describe('crash records of requests', () => {
   let ledger: CrashLedger
 
   beforeEach(() => { ledger = new CrashLedger(limits) })
 
   describe('a quarantine', () => {
-    it('begins with the second end in a row, and names the servers', () => {
+    it('starts at the second consecutive crash and names the servers', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       expect(ledger.quarantine(bad, 10)).to.equal(undefined)
       ledger.crashed(crash('b', 20, 30), 30)
       expect(ledger.quarantine(bad, 30)).to.deep.equal({ servers: ['a', 'b'], leftMs: 500 })
     })
 
-    it('does not begin where one trouble ended several servers at a time', () => {
+    it('does not start when several servers crash at the same time', () => {
       ledger.crashed(crash('a', 0, 10), 11)
       ledger.crashed(crash('b', 5, 10), 11)
       ledger.crashed(crash('c', 9, 11), 11)
       expect(ledger.quarantine(bad, 11)).to.equal(undefined)
     })
 
-    it('does not begin with one server that is reported twice', () => {
+    it('does not start when the same server is reported twice', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       expect(ledger.crashed(crash('a', 20, 30), 30)).to.equal(false)
       expect(ledger.quarantine(bad, 30)).to.equal(undefined)
     })
 
-    it('concerns no other request', () => {
+    it('does not affect other requests', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.crashed(crash('b', 20, 30), 30)
       expect(ledger.quarantine(fingerprint('other'), 30)).to.equal(undefined)
     })
 
-    it('ends after a while, as other trouble may have ended two servers in a row', () => {
+    it('expires after a short time, as an unrelated fault may have crashed two servers in a row', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.crashed(crash('b', 20, 30), 30)
       expect(ledger.quarantine(bad, 529)).to.not.equal(undefined)
       expect(ledger.quarantine(bad, 530)).to.equal(undefined)
     })
 
-    it('lasts as long as the ends count after one more', () => {
+    it('lasts until the crashes expire once there is a third one', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.crashed(crash('b', 20, 30), 30)
       ledger.crashed(crash('c', 540, 550), 550)
@@ -58,22 +58,22 @@
     })
   })
 
-  describe('a run that comes to its end', () => {
-    it('voids the ends before it, also those that are reported later', () => {
+  describe('a completed run', () => {
+    it('discards the crashes before it, including those reported later', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       expect(ledger.sound({ fingerprint: bad, endedAt: 40 })).to.equal(true)
       expect(ledger.crashed(crash('b', 20, 30), 50)).to.equal(false)
       expect(ledger.quarantine(bad, 50)).to.equal(undefined)
     })
 
-    it('lets a request go that was quarantined', () => {
+    it('releases a quarantined request', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.crashed(crash('b', 20, 30), 30)
       ledger.sound({ fingerprint: bad, endedAt: 31 })
       expect(ledger.quarantine(bad, 31)).to.equal(undefined)
     })
 
-    it('voids no later end', () => {
+    it('does not discard later crashes', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.sound({ fingerprint: bad, endedAt: 15 })
       ledger.crashed(crash('b', 20, 30), 30)
@@ -81,14 +81,14 @@
       expect(ledger.quarantine(bad, 50)?.servers).to.deep.equal(['b', 'c'])
     })
 
-    it('is no news of a request that nothing is held against', () => {
+    it('is ignored for a request without a record', () => {
       expect(ledger.sound({ fingerprint: bad, endedAt: 1 })).to.equal(false)
       expect(ledger.size).to.equal(0)
     })
   })
 
-  describe('what is kept', () => {
-    it('is bounded; a request that is quarantined goes last', () => {
+  describe('the table', () => {
+    it('is bounded, and evicts quarantined requests last', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.crashed(crash('b', 20, 30), 30)
       for (let each = 0; each < 20; each++) ledger.crashed(crash('c', 40, 50, fingerprint(`p${each}`)), 50)
@@ -96,14 +96,14 @@
       expect(ledger.quarantine(bad, 50)).to.not.equal(undefined)
     })
 
-    it('is let go of in time, also where nothing more happens', () => {
+    it('drops expired records when nothing else is recorded', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.sound({ fingerprint: bad, endedAt: 40 })
       ledger.expire(1100)
       expect(ledger.size).to.equal(0)
     })
 
-    it('is forgotten with the last end that counts', () => {
+    it('drops a request when its last crash expires', () => {
       ledger.crashed(crash('a', 0, 10), 10)
       ledger.crashed(crash('b', 2000, 2010, fingerprint('other')), 2010)
       expect(ledger.size).to.equal(1)
@@ -111,20 +111,20 @@
     })
   })
 
-  it('says the same whatever the order of the reports, and however often each comes', () => {
+  it('gives the same result for reports in any order and with duplicates', () => {
     const report = fc.record({ server: fc.constantFrom('a', 'b', 'c', 'd'), sentAt: fc.integer({ min: 0, max: 400 }), ranMs: fc.integer({ min: 1, max: 100 }) })
-    fc.assert(fc.property(fc.uniqueArray(report, { selector: each => each.server, maxLength: 4 }), fc.option(fc.integer({ min: 0, max: 500 })), fc.infiniteStream(fc.nat()), (reports, soundAt, draws) => {
+    fc.assert(fc.property(fc.uniqueArray(report, { selector: each => each.server, maxLength: 4 }), fc.option(fc.integer({ min: 0, max: 500 })), fc.infiniteStream(fc.nat()), (reports, completedAt, draws) => {
       const crashes = reports.map(({ server, sentAt, ranMs }) => crash(server, sentAt, sentAt + ranMs))
-      const tell = (told: CrashLedger, order: readonly Crash[]): unknown => {
-        order.forEach((each, at) => {
-          told.crashed(each, 600)
-          if (at === 0 && soundAt !== null) told.sound({ fingerprint: bad, endedAt: soundAt })
+      const apply = (target: CrashLedger, order: readonly Crash[]): unknown => {
+        order.forEach((each, index) => {
+          target.crashed(each, 600)
+          if (index === 0 && completedAt !== null) target.sound({ fingerprint: bad, endedAt: completedAt })
         })
-        if (soundAt !== null) told.sound({ fingerprint: bad, endedAt: soundAt })
-        return told.quarantine(bad, 600)
+        if (completedAt !== null) target.sound({ fingerprint: bad, endedAt: completedAt })
+        return target.quarantine(bad, 600)
       }
       const shuffled = [...crashes, ...crashes].map(each => ({ each, draw: draws.next().value as number })).sort((a, b) => a.draw - b.draw).map(({ each }) => each)
-      expect(tell(new CrashLedger(limits), shuffled)).to.deep.equal(tell(ledger = new CrashLedger(limits), crashes))
+      expect(apply(new CrashLedger(limits), shuffled)).to.deep.equal(apply(ledger = new CrashLedger(limits), crashes))
     }))
   })
 })
--- a/packages/decisions/test/outlier.test.ts
+++ b/packages/decisions/test/outlier.test.ts
@@ -3,8 +3,8 @@
 
 const limits = { inRow: 3, share: 0.4, least: 8, firstMs: 100, limitMs: 1000 }
 
-describe('outlier', () => {
-  it('is ejected by failures in a row, for longer each time, and on probation by one', () => {
+describe('outlier detection', () => {
+  it('ejects a server after consecutive failures, for longer each time, and on probation after a single one', () => {
     const outlier = new Outlier(limits)
     expect([outlier.failed(0), outlier.failed(0), outlier.failed(0)]).to.deep.equal([false, false, true])
     expect(outlier.ejected(99)).to.equal(true)
@@ -14,7 +14,7 @@
     expect(outlier.ejected(300)).to.equal(false)
   })
 
-  it('is ejected by its share of failures, though never three in a row', () => {
+  it('ejects a server by its failure ratio when it never fails three times in a row', () => {
     const outlier = new Outlier(limits)
     let ejected = false
     for (let each = 0; each < 40 && !ejected; each++) {
@@ -24,7 +24,7 @@
     expect(ejected).to.equal(true)
   })
 
-  it('is left in at the failures that sound servers show', () => {
+  it('does not eject a server at the failure ratio of healthy servers', () => {
     const outlier = new Outlier(limits)
     for (let each = 0; each < 400; each++) {
       if (each % 7 === 0) expect(outlier.failed(0)).to.equal(false)
@@ -36,7 +36,7 @@
 describe('retry window', () => {
   const share = { ratio: 0.2, slack: 2, windowMs: 10_000 }
 
-  it('lets through a share of the first tries and the slack, over any window', () => {
+  it('allows the ratio of first tries plus the slack in any window', () => {
     const window = new RetryWindow()
     for (let each = 0; each < 10; each++) window.first(0, share.windowMs)
     const granted = Array.from({ length: 10 }, () => window.repeat(1, share)).filter(Boolean)
--- a/packages/decisions/test/rest.test.ts
+++ b/packages/decisions/test/rest.test.ts
@@ -3,24 +3,24 @@
 
 const slots = 10
 
-describe('rest that a server asked for', () => {
+describe('backoff requested by a server', () => {
   let rest: Rest
 
   beforeEach(() => { rest = new Rest() })
 
-  it('leaves room for all before it was ever asked for', () => {
+  it('sets no limit before it is requested', () => {
     expect(rest.room(slots, 0)).to.equal(Infinity)
     expect(rest.over(0)).to.equal(true)
   })
 
-  it('leaves no room until its end', () => {
+  it('allows no request until it ends, then one', () => {
     expect(rest.ask(3000, 100)).to.equal(true)
     expect(rest.room(slots, 3099)).to.equal(0)
     expect(rest.leftMs(600)).to.equal(2500)
     expect(rest.room(slots, 3100)).to.equal(1)
   })
 
-  it('is made longer by a later word, never shorter, and begins once', () => {
+  it('is extended by a later one, never shortened, and starts once', () => {
     rest.ask(3000, 0)
     expect(rest.ask(500, 1000)).to.equal(false)
     expect(rest.leftMs(1000)).to.equal(2000)
@@ -28,7 +28,7 @@
     expect(rest.leftMs(2000)).to.equal(3000)
   })
 
-  it('ends with one request until that is answered, then leaves room bit by bit', () => {
+  it('allows one request after its end until that is answered, then ramps up', () => {
     rest.ask(1000, 0)
     rest.answered(500)
     expect(rest.room(slots, 5000)).to.equal(1)
@@ -37,14 +37,14 @@
     expect(rest.over(6000)).to.equal(true)
   })
 
-  it('begins anew where the first request is turned away again', () => {
+  it('starts again when the first request after it is rejected', () => {
     rest.ask(1000, 0)
     expect(rest.ask(1000, 1500)).to.equal(true)
     expect(rest.room(slots, 2499)).to.equal(0)
     expect(rest.room(slots, 2500)).to.equal(1)
   })
 
-  it('has a bound', () => {
+  it('has a maximum length', () => {
     rest.ask(Infinity, 0)
     expect(rest.leftMs(0)).to.equal(longestRestMs)
   })
--- a/packages/decisions/test/token-stock.test.ts
+++ b/packages/decisions/test/token-stock.test.ts
@@ -1,15 +1,15 @@
 import { TokenStock, earnedPerSecond, tokenLifeMs } from '@finchpitch/decisions'
 import { expect } from 'chai'
 
-describe('a stock of tokens', () => {
-  it('gives the oldest first', () => {
+describe('quota tokens by age', () => {
+  it('are taken oldest first', () => {
     const stock = new TokenStock()
     stock.addAll([{ tokens: 10, earnedAt: 300 }, { tokens: 10, earnedAt: 100 }, { tokens: 10, earnedAt: 200 }])
     expect(stock.takeUpTo(15, 0)).to.deep.equal([{ tokens: 10, earnedAt: 100 }, { tokens: 5, earnedAt: 200 }])
     expect(stock.takeUpTo(99, 0)).to.deep.equal([{ tokens: 5, earnedAt: 200 }, { tokens: 10, earnedAt: 300 }])
   })
 
-  it('gives all that is asked for or nothing, and nothing that has lapsed', () => {
+  it('are taken in full or not at all, without expired ones', () => {
     const stock = new TokenStock()
     stock.add(10, 100)
     stock.add(10, 200)
@@ -18,7 +18,7 @@
     expect(stock.take(10, 150)).to.deep.equal([{ tokens: 10, earnedAt: 200 }])
   })
 
-  it('never makes a token younger, and keeps few slices of many gifts that come out of order', () => {
+  it('never become younger, and form few slices when many are added out of order', () => {
     const stock = new TokenStock()
     let seed = 7
     const random = (): number => { seed = (seed * 48_271) % 2_147_483_647; return seed / 2_147_483_647 }
@@ -30,7 +30,7 @@
     expect(early).to.be.within(16_000, 17_500)
   })
 
-  it('lets tokens live so long that rate times window and life stay under the bound', () => {
+  it('have a lifetime with which the rate times window and lifetime stays within the bound', () => {
     for (const perSecond of [29_000, 206_000]) {
       const bound = { windowMs: 8000, overage: 0.1, slack: 110_000 }
       const life = tokenLifeMs({ perSecond, burst: perSecond }, bound)
