--- a/packages/fleet/src/entry/attempt.ts
+++ b/packages/fleet/src/entry/attempt.ts
@@ -1,9 +1,9 @@
 /**
- * One try of a request at one backend server.
+ * One attempt of a request at one backend server.
  *
- * Its end says exactly how far it came, since that decides what may be done next: a request that was never sent or
- * that the server refused may go elsewhere, any other may have run. An answer counts only if it is the server's own
- * (it carries the seal), belongs to this request (it echoes the id) and came whole.
+ * The result says exactly how far the attempt got, since that decides whether it may be retried: a request that was never
+ * sent or that the server refused can safely go to another server; any other may have run. A response is accepted only if
+ * it comes from the server itself (it carries the seal), belongs to this request (it echoes the id) and is complete.
  */
 import { request as openRequest, type Agent, type ClientRequest, type IncomingMessage } from 'node:http'
 import { splitAddress } from '@finchpitch/core'
@@ -28,29 +28,33 @@
   address: string
   outgoing: Outgoing
   requestId: string
-  /** The server that is meant. */
+  /** Id of the server that the request is meant for. */
   serverId: string
   names: HeaderNames
+  /** Time-out for establishing a connection. */
   connectMs: number
-  /** Asked with the connection up and nothing sent yet, which may be long after the try began: whether it may still be sent. */
+  /**
+   * Whether the request may still be sent. Called once the connection is established and before anything is written, which may
+   * be long after the attempt began.
+   */
   permit: () => boolean
-  /** A new connection came up, after so many milliseconds. */
+  /** A new connection was established, after `ms` milliseconds. */
   cameUp: (ms: number) => void
-  /** Answers of a stream go out as they come. */
+  /** Forward the response body as it arrives instead of buffering it. */
   stream: boolean
-  /** Where the stream may go on elsewhere: passes whole events only. */
+  /** Set for a stream that may be resumed at another server: only complete events are forwarded. */
   cutter: EventCutter | undefined
   delivery: Delivery
   cancellation: Cancellation
-  /** The first bytes of the answer came. */
+  /** The head of the response arrived. */
   heard: () => void
-  /** What the server says of itself with its answer; before anything else of that answer is judged. */
+  /** What the server reports about itself in the response headers; called before the response is validated. */
   said: (word: ServerWord) => void
 }
 
 export type AttemptEnd =
   | { type: 'not_sent', detail: string }
-  /** What allowed it to be sent no longer holds. */
+  /** `AttemptOptions.maySend` returned false. */
   | { type: 'withheld' }
   | { type: 'not_run', status: number, retryAfter: string | undefined, cause: RefusalCause }
   | { type: 'broken', detail: string }
@@ -59,12 +63,12 @@
   | { type: 'interrupted', detail: string }
   | { type: 'cancelled', sent: boolean }
 
-/** Why a server refused: it is another one, it lacks what is asked for, or it takes no more. */
+/** Why a server refused: it is not the server that was meant, it lacks the requested model or version, or it is at capacity. */
 export type RefusalCause = 'another_server' | 'not_held' | 'full'
 
-const misdirected = 421
-/** By themselves these statuses would promise a caller that its request has not run. */
-const promising = new Set([408, 421, 429, 503])
+const misdirectedStatus = 421
+/** Statuses that by themselves tell a caller that its request has not run. */
+const notRunStatuses = new Set([408, 421, 429, 503])
 
 export const attempt = (options: AttemptOptions): Promise<AttemptEnd> => new Promise(resolve => {
   const { agent, outgoing, cancellation, connectMs } = options
@@ -77,26 +81,26 @@
   }
   let connected = false
   let finished = false
-  const connecting = setTimeout(() => setImmediate(giveUp), connectMs)
-  /** Timers run before what the sockets brought: after a stall of this process the connection may well be there. */
-  const giveUp = (): void => {
-    if (!connected) request.destroy(new Error(`no connection in ${connectMs} ms`))
+  const connectTimer = setTimeout(() => setImmediate(abortConnect), connectMs)
+  /** Runs after pending socket events: when this process has stalled, its timers fire before it sees that the connection is up. */
+  const abortConnect = (): void => {
+    if (!connected) request.destroy(new Error(`connection not established within ${connectMs} ms`))
   }
   const finish = (end: AttemptEnd): void => {
     if (finished) return
     finished = true
-    clearTimeout(connecting)
-    forget()
+    clearTimeout(connectTimer)
+    unsubscribe()
     resolve(end)
   }
   const cancel = (): void => {
     finish({ type: 'cancelled', sent: connected })
     request.destroy()
   }
-  const forget = cancellation.onCancel(cancel)
-  /** In one turn of the event loop, since this process may be frozen between any two. */
+  const unsubscribe = cancellation.onCancel(cancel)
+  /** Checks and writes in a single turn of the event loop, since the process may be suspended between turns. */
   const send = (): void => {
-    clearTimeout(connecting)
+    clearTimeout(connectTimer)
     if (finished) return
     if (!options.permit()) {
       finish({ type: 'withheld' })
@@ -114,81 +118,81 @@
       send()
     })
   })
-  // Told before the answer's end: the runtime takes a reset for the end of an answer without a length.
+  // Must settle before the end of the response does: Node treats a connection reset as the end of a response without a length.
   request.on('error', error => {
     if (!connected) return finish({ type: 'not_sent', detail: error.message })
     finish({ type: options.delivery.started ? 'interrupted' : 'broken', detail: error.message })
   })
-  request.on('response', answer => {
-    const word = serverWordOf(answer, options.names, options.serverId)
+  request.on('response', response => {
+    const word = serverWordOf(response, options.names, options.serverId)
     if (word !== undefined) options.said(word)
     options.heard()
-    // The rest of a request that was answered early must not run into the next one on this connection.
-    if (!request.writableFinished) answer.once('end', () => request.destroy())
-    void read(answer, request, options).then(finish)
+    // The unsent rest of a request that was answered early must not be written ahead of the next one on this connection.
+    if (!request.writableFinished) response.once('end', () => request.destroy())
+    void readResponse(response, request, options).then(finish)
   })
   if (cancellation.cancelled) cancel()
 })
 
-const read = async (answer: IncomingMessage, request: ClientRequest, options: AttemptOptions): Promise<AttemptEnd> => {
+const readResponse = async (response: IncomingMessage, request: ClientRequest, options: AttemptOptions): Promise<AttemptEnd> => {
   const { names, requestId, stream } = options
-  const refuse = (detail: string): AttemptEnd => {
-    answer.on('error', () => {})
+  const reject = (detail: string): AttemptEnd => {
+    response.on('error', () => {})
     request.destroy()
     return { type: 'broken', detail }
   }
-  const status = answer.statusCode ?? 0
-  const echoed = headerOf(answer, names.requestId)
-  if (echoed !== undefined && echoed !== requestId) return refuse(`an answer to another request (${echoed})`)
-  if (headerOf(answer, names.notRun) !== undefined || status === misdirected) return readRefusal(answer, options)
-  const good = status >= 200 && status < 300
-  if (good && (echoed === undefined || headerOf(answer, names.seal) === undefined)) return refuse(`status ${status} without seal or id`)
-  if (answer.headers['content-encoding'] !== undefined) return refuse('an encoded body')
-  if (promising.has(status)) return refuse(`status ${status} without saying that it has not run`)
-  return good && stream ? await passStream(answer, status, options) : await readWhole(answer, status)
+  const status = response.statusCode ?? 0
+  const echoed = headerOf(response, names.requestId)
+  if (echoed !== undefined && echoed !== requestId) return reject(`an answer to another request (${echoed})`)
+  if (headerOf(response, names.notRun) !== undefined || status === misdirectedStatus) return readRefusal(response, options)
+  const succeeded = status >= 200 && status < 300
+  if (succeeded && (echoed === undefined || headerOf(response, names.seal) === undefined)) return reject(`status ${status} without seal or id`)
+  if (response.headers['content-encoding'] !== undefined) return reject('an encoded body')
+  if (notRunStatuses.has(status)) return reject(`status ${status} without saying that it has not run`)
+  return succeeded && stream ? await forwardStream(response, status, options) : await bufferResponse(response, status)
 }
 
-const readRefusal = (answer: IncomingMessage, { names, serverId }: AttemptOptions): AttemptEnd => {
-  const status = answer.statusCode ?? 0
-  const retryAfter = headerOf(answer, names.retryAfter)
-  const refuser = headerOf(answer, names.serverId)
-  // The refusal is known from the head; what becomes of its body does not matter.
-  answer.on('error', () => {})
-  answer.resume()
-  if (status !== misdirected) return { type: 'not_run', status, retryAfter, cause: 'full' }
-  const another = refuser !== undefined && refuser !== serverId
-  return { type: 'not_run', status, retryAfter, cause: another ? 'another_server' : 'not_held' }
+const readRefusal = (response: IncomingMessage, { names, serverId }: AttemptOptions): AttemptEnd => {
+  const status = response.statusCode ?? 0
+  const retryAfter = headerOf(response, names.retryAfter)
+  const refuser = headerOf(response, names.serverId)
+  // The headers carry the whole refusal; errors in its body don't matter.
+  response.on('error', () => {})
+  response.resume()
+  if (status !== misdirectedStatus) return { type: 'not_run', status, retryAfter, cause: 'full' }
+  const otherServer = refuser !== undefined && refuser !== serverId
+  return { type: 'not_run', status, retryAfter, cause: otherServer ? 'another_server' : 'not_held' }
 }
 
-const readWhole = (answer: IncomingMessage, status: number): Promise<AttemptEnd> => new Promise(resolve => {
-  const pieces: Buffer[] = []
-  answer.on('data', (piece: Buffer) => pieces.push(piece))
-  answer.on('error', error => resolve({ type: 'broken', detail: `the answer broke off: ${error.message}` }))
-  answer.on('end', () => {
-    if (!answer.complete) return resolve({ type: 'broken', detail: 'the answer broke off' })
-    resolve({ type: 'answer', status, headers: answer.rawHeaders, body: Buffer.concat(pieces) })
+const bufferResponse = (response: IncomingMessage, status: number): Promise<AttemptEnd> => new Promise(resolve => {
+  const chunks: Buffer[] = []
+  response.on('data', (chunk: Buffer) => chunks.push(chunk))
+  response.on('error', error => resolve({ type: 'broken', detail: `response body incomplete: ${error.message}` }))
+  response.on('end', () => {
+    if (!response.complete) return resolve({ type: 'broken', detail: 'response body incomplete' })
+    resolve({ type: 'answer', status, headers: response.rawHeaders, body: Buffer.concat(chunks) })
   })
-  answer.on('close', () => resolve({ type: 'broken', detail: 'the answer was cut' }))
+  response.on('close', () => resolve({ type: 'broken', detail: 'connection closed before the end of the response' }))
 })
 
-const passStream = (answer: IncomingMessage, status: number, { delivery, cutter }: AttemptOptions): Promise<AttemptEnd> => new Promise(resolve => {
-  if (!delivery.started) delivery.start(status, answer.rawHeaders)
+const forwardStream = (response: IncomingMessage, status: number, { delivery, cutter: framer }: AttemptOptions): Promise<AttemptEnd> => new Promise(resolve => {
+  if (!delivery.started) delivery.start(status, response.rawHeaders)
   let bytes = 0
-  const resume = (): void => { answer.resume() }
+  const resume = (): void => { response.resume() }
   const interrupted = (detail: string): void => {
-    cutter?.drop()
+    framer?.drop()
     resolve({ type: 'interrupted', detail })
   }
-  answer.on('data', (piece: Buffer) => {
-    bytes += piece.length
-    const ready = delivery.write(cutter === undefined ? piece : cutter.push(piece), resume)
-    if (!ready) answer.pause()
+  response.on('data', (chunk: Buffer) => {
+    bytes += chunk.length
+    const ready = delivery.write(framer === undefined ? chunk : framer.push(chunk), resume)
+    if (!ready) response.pause()
   })
-  answer.on('error', error => interrupted(error.message))
-  answer.on('end', () => {
-    if (!answer.complete) return interrupted('the stream broke off')
-    if (cutter !== undefined && cutter.rest.length > 0) return interrupted('the stream ended within an event')
+  response.on('error', error => interrupted(error.message))
+  response.on('end', () => {
+    if (!response.complete) return interrupted('response stream incomplete')
+    if (framer !== undefined && framer.rest.length > 0) return interrupted('response stream ended within an event')
     resolve({ type: 'streamed', status, bytes })
   })
-  answer.on('close', () => interrupted('the stream was cut'))
+  response.on('close', () => interrupted('connection closed before the end of the response stream'))
 })
--- a/packages/fleet/src/entry/caller-connections.ts
+++ b/packages/fleet/src/entry/caller-connections.ts
@@ -1,38 +1,39 @@
 /**
- * Connections of callers, and when they should be taken up anew.
+ * Keep-alive connections of callers, and when to close them so that they are balanced again.
  *
- * The platform's balancer chooses an entry for each new connection and never moves an open one. While an entry is
- * away its callers land elsewhere and would stay there when it is back, so one entry ends up with nearly all of them.
- * So once an entry has come, the connections from before are ended politely, each with its next answer.
+ * The platform's load balancer assigns an entry process to each new connection and never moves an open one. While an
+ * entry is down, its callers reconnect to the others and would stay there after it returns, so that one entry ends up
+ * with nearly all of them. When an entry joins, the connections opened before that are therefore closed gracefully,
+ * each with its next response (`Connection: close`).
  *
- * In between they are kept: the runtime takes up one new connection in each turn of its event loop, so a busy entry
- * that has to take up many falls behind with them.
+ * Otherwise connections are kept open: Node accepts one new connection per turn of the event loop, so a busy entry
+ * that has to accept many of them falls behind.
  */
 import type { Server } from 'node:http'
 import type { Socket } from 'node:net'
 import { nowMs } from '../clock.js'
 
-/** The balancer asks each second whether an entry is ready, and one that has come is so by then. */
-const settleMs = 1500
-/** Connections are ended over this time, so that their callers don't all come back at once. */
-const spreadMs = 2500
+/** The load balancer checks readiness every second, so it knows a joined entry to be ready by then. */
+const readinessDelayMs = 1500
+/** Closes are spread over this time, so that callers don't all reconnect at once. */
+const closeSpreadMs = 2500
 
-interface Opened {
+interface OpenConnection {
   at: number
-  /** Its place in the time over which connections are ended, from 0 to 1. */
-  place: number
+  /** Random position within the spread, from 0 to 1. */
+  spreadFraction: number
 }
 
 export class CallerConnections {
-  readonly #opened = new WeakMap<Socket, Opened>()
-  /** How many entries there are, as last noted; 0 where nothing is known. */
+  readonly #open = new WeakMap<Socket, OpenConnection>()
+  /** The last known number of entries; 0 while unknown. */
   #entries = 0
-  /** Connections from before this are ended. */
-  #renewAt = -Infinity
+  /** Connections opened before this are closed. */
+  #rebalanceAt = -Infinity
 
   constructor (server: Server) {
     server.on('connection', (socket: Socket) => {
-      this.#opened.set(socket, { at: nowMs(), place: Math.random() })
+      this.#open.set(socket, { at: nowMs(), spreadFraction: Math.random() })
     })
   }
 
@@ -41,14 +42,14 @@
   }
 
   noteEntries (entries: number): void {
-    if (this.#entries > 0 && entries > this.#entries) this.#renewAt = nowMs() + settleMs
+    if (this.#entries > 0 && entries > this.#entries) this.#rebalanceAt = nowMs() + readinessDelayMs
     this.#entries = entries
   }
 
-  /** Whether the next answer on the connection should be its last. */
+  /** Whether the next response on the connection should be its last. */
   isOld (socket: Socket): boolean {
-    const opened = this.#opened.get(socket)
-    if (opened === undefined || opened.at > this.#renewAt) return false
-    return nowMs() > this.#renewAt + opened.place * spreadMs
+    const connection = this.#open.get(socket)
+    if (connection === undefined || connection.at > this.#rebalanceAt) return false
+    return nowMs() > this.#rebalanceAt + connection.spreadFraction * closeSpreadMs
   }
 }
--- a/packages/fleet/src/entry/cancellation.ts
+++ b/packages/fleet/src/entry/cancellation.ts
@@ -1,8 +1,8 @@
 /**
- * A request's cancellation: its caller has left, or its time is up.
+ * Cancels a request when its caller disconnects or its deadline passes.
  *
- * Does for one process what the runtime's abort signal does for everything, at a small part of its cost: an entry
- * makes one for each request, and that signal was among the dearest things on the request's path.
+ * A minimal replacement for `AbortController`: an entry process creates one per request, and `AbortController` was
+ * among the most expensive operations on the request path.
  */
 export class Cancellation {
   #cancelled = false
@@ -19,7 +19,7 @@
     this.#listeners.clear()
   }
 
-  /** Calls `listener` when it is cancelled; gives what takes that back. */
+  /** Calls `listener` on cancellation. Returns a function that unsubscribes it. */
   onCancel (listener: () => void): () => void {
     this.#listeners.add(listener)
     return () => { this.#listeners.delete(listener) }
--- a/packages/fleet/src/entry/connections.ts
+++ b/packages/fleet/src/entry/connections.ts
@@ -1,56 +1,56 @@
 /**
- * Connections to backend servers: kept for the next request, never for long.
+ * Connection pool to a backend server, with short idle timeouts.
  *
- * A server closes what rests and may do so while a request is on its way; such a request may have run and can't be
- * sent again. So a connection is used again only well within the time that the server gave. Bytes that come on a
- * resting connection belong to no request and end it.
+ * A server closes idle connections and may do so just as a request is being sent; that request may have run, so it
+ * can't be sent again. A connection is therefore reused only well within the keep-alive timeout that the server
+ * states. Bytes that arrive on an idle connection belong to no request, so they close it.
  */
 import { Agent, type AgentOptions, type ClientRequest, type IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 
-/** The part of the stated rest that is used; the remainder covers the way there and a clock that is late. */
-const usedShare = 0.8
-/** Used where a server states no rest, and the most where it states a longer one: these servers drop after 1.5 s. */
-const mostRestMs = 800
-/** A server's address is given to another after some seconds; nothing may rest that long. */
+/** Fraction of the stated keep-alive timeout that is used; the remainder covers network latency and late timers. */
+const keepAliveShare = 0.8
+/** The default where a server states no timeout, and the upper bound where it does: these servers drop idle connections after 1.5 s. */
+const maxIdleMs = 800
+/** A server's address is reassigned to another server after some seconds; no connection may stay idle that long. */
 const socketTimeoutMs = 30_000
 
-const statedRestMs = (answer: IncomingMessage | undefined): number => {
-  const stated = /timeout=(\d+)/.exec(String(answer?.headers['keep-alive'] ?? ''))?.[1]
-  return stated === undefined ? mostRestMs : Math.min(mostRestMs, Number(stated) * 1000 * usedShare)
+const idleTimeoutOf = (response: IncomingMessage | undefined): number => {
+  const stated = /timeout=(\d+)/.exec(String(response?.headers['keep-alive'] ?? ''))?.[1]
+  return stated === undefined ? maxIdleMs : Math.min(maxIdleMs, Number(stated) * 1000 * keepAliveShare)
 }
 
-interface KeptSocket extends Socket {
+interface PooledSocket extends Socket {
   _httpMessage?: ClientRequest & { res?: IncomingMessage }
 }
 
-const resting = new WeakMap<Duplex, () => void>()
+const idleCleanups = new WeakMap<Duplex, () => void>()
 
-class RestingAgent extends Agent {
+class KeepAliveAgent extends Agent {
   constructor (options: AgentOptions) {
     super({ keepAlive: true, scheduling: 'lifo', timeout: socketTimeoutMs, ...options })
   }
 
-  override keepSocketAlive (socket: KeptSocket): boolean {
-    const restMs = statedRestMs(socket._httpMessage?.res)
-    if (restMs <= 0) return false
-    const timer = setTimeout(() => socket.destroy(), restMs)
-    const surplus = (): void => { socket.destroy() }
-    socket.on('data', surplus)
+  override keepSocketAlive (socket: PooledSocket): boolean {
+    const idleMs = idleTimeoutOf(socket._httpMessage?.res)
+    if (idleMs <= 0) return false
+    const timer = setTimeout(() => socket.destroy(), idleMs)
+    const onUnexpectedData = (): void => { socket.destroy() }
+    socket.on('data', onUnexpectedData)
     socket.setKeepAlive(true, 1000)
-    resting.set(socket, () => {
+    idleCleanups.set(socket, () => {
       clearTimeout(timer)
-      socket.removeListener('data', surplus)
+      socket.removeListener('data', onUnexpectedData)
     })
     return true
   }
 
-  override reuseSocket (socket: KeptSocket, request: ClientRequest): void {
+  override reuseSocket (socket: PooledSocket, request: ClientRequest): void {
     super.reuseSocket(socket, request)
-    resting.get(socket)?.()
-    resting.delete(socket)
+    idleCleanups.get(socket)?.()
+    idleCleanups.delete(socket)
   }
 }
 
-export const serverAgent = (maxSockets: number): Agent => new RestingAgent({ maxSockets, maxFreeSockets: maxSockets })
+export const serverAgent = (maxSockets: number): Agent => new KeepAliveAgent({ maxSockets, maxFreeSockets: maxSockets })
--- a/packages/fleet/src/entry/delivery.ts
+++ b/packages/fleet/src/entry/delivery.ts
@@ -1,38 +1,38 @@
 /**
- * The caller's side of one request: its answer is given once, whole or as a stream, and never looks whole when it
- * isn't.
+ * Writes the response of one request to its caller: once, buffered or as a stream, and so that a truncated response
+ * can never be taken for a complete one.
  */
 import type { ServerResponse } from 'node:http'
 
-/** Headers that belong to one connection, and are never passed on. */
-const connectionHeaders = new Set([
+/** Hop-by-hop headers, which are never forwarded. */
+const hopByHopHeaders = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade'
 ])
 
-/** Name, value, name, value, as the runtime gives raw headers. */
+/** Alternating names and values, as in `IncomingMessage.rawHeaders`. */
 export type RawHeaders = readonly string[]
 
 export const headerPairs = function * (raw: RawHeaders): Generator<[name: string, value: string]> {
-  for (let each = 0; each + 1 < raw.length; each += 2) yield [raw[each] ?? '', raw[each + 1] ?? '']
+  for (let index = 0; index + 1 < raw.length; index += 2) yield [raw[index] ?? '', raw[index + 1] ?? '']
 }
 
-/** The headers that are passed on, without those that `Connection` names and those in `without`. */
+/** The headers to forward: all but hop-by-hop headers, those that `Connection` names and those in `without`. */
 export const passedHeaders = (raw: RawHeaders, without: ReadonlySet<string>): string[] => {
-  const named = new Set<string>()
+  const connectionOptions = new Set<string>()
   for (const [name, value] of headerPairs(raw)) {
     if (name.toLowerCase() !== 'connection') continue
-    for (const token of value.split(',')) named.add(token.trim().toLowerCase())
+    for (const token of value.split(',')) connectionOptions.add(token.trim().toLowerCase())
   }
-  const passed: string[] = []
+  const forwarded: string[] = []
   for (const [name, value] of headerPairs(raw)) {
     const lower = name.toLowerCase()
-    if (connectionHeaders.has(lower) || named.has(lower) || without.has(lower)) continue
-    passed.push(name, value)
+    if (hopByHopHeaders.has(lower) || connectionOptions.has(lower) || without.has(lower)) continue
+    forwarded.push(name, value)
   }
-  return passed
+  return forwarded
 }
 
-/** Whether an answer says where it ends. */
+/** Whether the headers delimit the body; otherwise it ends with the connection. */
 const isFramed = (raw: RawHeaders): boolean => {
   for (const [name] of headerPairs(raw)) {
     const lower = name.toLowerCase()
@@ -41,43 +41,44 @@
   return false
 }
 
-const ownFraming = new Set(['content-length'])
+const contentLengthOnly = new Set(['content-length'])
 
 export class Delivery {
   #started = false
 
-  constructor (private readonly response: ServerResponse, private readonly lastAnswer: () => boolean) {}
+  constructor (private readonly response: ServerResponse, private readonly closeAfterResponse: () => boolean) {}
 
-  /** The head of an answer has gone out. */
+  /** Status and headers have been sent. */
   get started (): boolean {
     return this.#started
   }
 
-  /** A server's whole answer. `bodyless`: it answers a HEAD, or has a status without a body. */
+  /** Sends a buffered response of a server. `bodyless`: it answers a HEAD request, or its status allows no body. */
   whole (status: number, raw: RawHeaders, body: Buffer, bodyless: boolean): void {
-    const headers = passedHeaders(raw, bodyless ? new Set() : ownFraming)
+    const headers = passedHeaders(raw, bodyless ? new Set() : contentLengthOnly)
     if (!bodyless && isFramed(raw)) headers.push('Content-Length', String(body.length))
-    this.#head(status, headers, bodyless || isFramed(raw))
+    this.#writeHead(status, headers, bodyless || isFramed(raw))
     this.response.end(bodyless ? undefined : body)
   }
 
-  /** The system's own answer. */
+  /** Sends a response that the entry generates itself. Aborts the response if one is already under way. */
   own (status: number, headers: Record<string, string>, message: string): void {
     if (this.#started || this.response.headersSent) return this.cut()
     const body = Buffer.from(JSON.stringify({ error: message }))
-    const flat = Object.entries({ 'Content-Type': 'application/json', 'Content-Length': String(body.length), ...headers }).flat()
-    this.#head(status, flat, true)
+    const flatHeaders = Object.entries({ 'Content-Type': 'application/json', 'Content-Length': String(body.length), ...headers }).flat()
+    this.#writeHead(status, flatHeaders, true)
     this.response.end(body)
   }
 
+  /** Sends the head of a streamed response. */
   start (status: number, raw: RawHeaders): void {
-    this.#head(status, passedHeaders(raw, ownFraming), isFramed(raw))
+    this.#writeHead(status, passedHeaders(raw, contentLengthOnly), isFramed(raw))
     this.response.flushHeaders()
   }
 
-  /** Says whether more may be written at once; if not, `drained` is called when it may. */
-  write (piece: Buffer, drained: () => void): boolean {
-    if (piece.length === 0 || this.response.write(piece)) return true
+  /** Returns false under backpressure; `drained` is called once more may be written. */
+  write (chunk: Buffer, drained: () => void): boolean {
+    if (chunk.length === 0 || this.response.write(chunk)) return true
     this.response.once('drain', drained)
     return false
   }
@@ -86,15 +87,18 @@
     this.response.end()
   }
 
-  /** Ends the connection, so that what was sent can't be taken for the whole. */
+  /** Closes the connection, so that a partial response can't be taken for a complete one. */
   cut (): void {
     this.response.destroy()
   }
 
-  /** An answer that ends with its connection does so towards the caller too: that it was whole can't be known here. */
-  #head (status: number, headers: string[], framed: boolean): void {
+  /**
+   * Whether a response that ends with the server's connection is complete can't be known here, so it ends with the caller's
+   * connection too.
+   */
+  #writeHead (status: number, headers: string[], framed: boolean): void {
     this.#started = true
-    if (this.lastAnswer() || !framed) headers.push('Connection', 'close')
+    if (this.closeAfterResponse() || !framed) headers.push('Connection', 'close')
     if (!framed) {
       this.response.useChunkedEncodingByDefault = false
       this.response.shouldKeepAlive = false
--- a/packages/fleet/src/entry/event-stream.ts
+++ b/packages/fleet/src/entry/event-stream.ts
@@ -1,46 +1,47 @@
 /**
- * Event streams on their way through: cut at the ends of events, with the id of the last one.
+ * Splits a stream of server-sent events at event boundaries and keeps the id of the last complete event.
  *
- * Only whole events are passed on where a stream may go on at another server, so that what is joined is whole.
+ * A stream that may be resumed at another server is forwarded in complete events only, so that the two parts join
+ * without a truncated event between them.
  */
 
-const eventEnd = Buffer.from('\n\n')
+const eventTerminator = Buffer.from('\n\n')
 
 export class EventCutter {
-  #rest: Buffer = Buffer.alloc(0)
+  #partial: Buffer = Buffer.alloc(0)
   #lastId: string | undefined
 
-  /** Id of the last whole event. */
+  /** Id of the last complete event. */
   get lastId (): string | undefined {
     return this.#lastId
   }
 
-  /** Bytes of an event whose end has not come. */
+  /** Buffered bytes of an incomplete event. */
   get rest (): Buffer {
-    return this.#rest
+    return this.#partial
   }
 
-  /** Takes bytes as they come and gives those of the events that they complete. */
-  push (piece: Buffer): Buffer {
-    const joined = this.#rest.length === 0 ? piece : Buffer.concat([this.#rest, piece])
-    const end = joined.lastIndexOf(eventEnd)
+  /** Buffers a chunk and returns the bytes of all events that it completes. */
+  push (chunk: Buffer): Buffer {
+    const buffered = this.#partial.length === 0 ? chunk : Buffer.concat([this.#partial, chunk])
+    const end = buffered.lastIndexOf(eventTerminator)
     if (end < 0) {
-      this.#rest = joined
+      this.#partial = buffered
       return Buffer.alloc(0)
     }
-    const whole = joined.subarray(0, end + eventEnd.length)
-    this.#rest = joined.subarray(end + eventEnd.length)
-    this.#lastId = lastIdIn(whole) ?? this.#lastId
-    return whole
+    const complete = buffered.subarray(0, end + eventTerminator.length)
+    this.#partial = buffered.subarray(end + eventTerminator.length)
+    this.#lastId = lastEventIdIn(complete) ?? this.#lastId
+    return complete
   }
 
-  /** Forgets a piece of an event, before the stream goes on elsewhere. */
+  /** Discards a partial event before the stream is resumed at another server. */
   drop (): void {
-    this.#rest = Buffer.alloc(0)
+    this.#partial = Buffer.alloc(0)
   }
 }
 
-const lastIdIn = (events: Buffer): string | undefined => {
+const lastEventIdIn = (events: Buffer): string | undefined => {
   const text = events.toString('latin1')
   const at = Math.max(text.lastIndexOf('\nid:'), text.startsWith('id:') ? 0 : -1)
   if (at < 0) return undefined
--- a/packages/fleet/src/entry/fingerprint.ts
+++ b/packages/fleet/src/entry/fingerprint.ts
@@ -1,8 +1,8 @@
 /**
- * The fingerprint of a request: the same for all tries of it, whatever id each comes under and whichever entry it meets.
+ * The fingerprint of a request: identical for all its retries, regardless of request id and of the entry that receives them.
  *
- * A caller asks again with the same path, team and body; ids, times left and other headers differ. Only a part of a hash is
- * kept and passed on, so that neither logs nor other processes learn what was asked.
+ * A caller retries with the same path, team and body, while ids, remaining times and other headers differ. Only a truncated hash
+ * is kept and shared, so that neither logs nor other processes learn the content of a request.
  */
 import { createHash } from 'node:crypto'
 import { RequestFingerprint } from '@finchpitch/core'
@@ -12,7 +12,7 @@
   host: string
   /** Path and query. */
   url: string | undefined
-  /** Name of the team whose key came with it. */
+  /** Name of the team that its API key belongs to. */
   team: string | undefined
   body: Buffer
 }
@@ -20,7 +20,7 @@
 const fingerprintLength = 16
 
 export const fingerprintOf = ({ method, host, url, team, body }: FingerprintedRequest): RequestFingerprint => {
-  const asked = JSON.stringify([method, host, url, team ?? null])
-  const digest = createHash('sha256').update(asked).update(body).digest('base64url')
+  const target = JSON.stringify([method, host, url, team ?? null])
+  const digest = createHash('sha256').update(target).update(body).digest('base64url')
   return RequestFingerprint.parse(digest.slice(0, fingerprintLength))
 }
--- a/packages/fleet/src/entry/first-tries.ts
+++ b/packages/fleet/src/entry/first-tries.ts
@@ -1,45 +1,48 @@
 /**
- * How long ago a caller first tried, by the time that it states it has left.
+ * Estimates how long ago a caller made its first attempt, from the remaining time that its request states.
  *
- * Callers of a route mostly give it the same time, so one that states less has tried before. What counts for a caller
- * runs from its first try, which no request names. It lets late requests be told from those that can be in time
- * (urgency.ts has what that is worth).
+ * Most callers of a route start with the same time-out, so a request that states less is a retry. The latency objective
+ * runs from the caller's first attempt, which no request states. The estimate separates requests that are already late
+ * from those that can still meet the objective (the ranking by urgency documents the measured gain).
  */
 
-/** Statements this close to the most are first tries; the rest is what the way here took. */
-const closeMs = 150
-/** Statements after which older ones count half. */
-const halfAfter = 100
-/** Without so large a part of first tries the route's callers differ, and nothing can be said. */
-const leastShare = 0.4
+/** A remaining time this close to the maximum is a first attempt; the difference is network latency. */
+const firstAttemptToleranceMs = 150
+/** Number of samples after which older ones are halved. */
+const decayAfter = 100
+/** With a smaller fraction of first attempts, callers of the route use different time-outs, and nothing can be estimated. */
+const minFirstAttemptShare = 0.4
 
-interface Seen {
-  mostMs: number
-  close: number
-  all: number
+/** Decayed statistics of a route. */
+interface RouteSamples {
+  /** The longest remaining time stated. */
+  maxMs: number
+  /** Samples close to the maximum. */
+  nearMax: number
+  total: number
 }
 
 export class FirstTries {
-  readonly #routes = new Map<string, Seen>()
+  readonly #routes = new Map<string, RouteSamples>()
 
-  /** Milliseconds since the first try of a caller that has `remainingMs` left; 0 for a first try, or where that can't be told. */
+  /** Estimated time since the first attempt of a caller that has `remainingMs` left; 0 for a first attempt, or where it can't be estimated. */
   agoMs (route: string, remainingMs: number): number {
-    const seen = this.#note(route, remainingMs)
-    const ago = seen.mostMs - remainingMs
-    return ago < closeMs || seen.close < seen.all * leastShare ? 0 : ago
+    const samples = this.#addSample(route, remainingMs)
+    const ago = samples.maxMs - remainingMs
+    return ago < firstAttemptToleranceMs || samples.nearMax < samples.total * minFirstAttemptShare ? 0 : ago
   }
 
-  #note (route: string, remainingMs: number): Seen {
-    const seen = this.#routes.get(route) ?? { mostMs: 0, close: 0, all: 0 }
-    this.#routes.set(route, seen)
-    if (remainingMs > seen.mostMs + closeMs) seen.close = seen.all = 0
-    seen.mostMs = Math.max(seen.mostMs, remainingMs)
-    seen.all += 1
-    if (remainingMs > seen.mostMs - closeMs) seen.close += 1
-    if (seen.all >= halfAfter) {
-      seen.all /= 2
-      seen.close /= 2
+  #addSample (route: string, remainingMs: number): RouteSamples {
+    const samples = this.#routes.get(route) ?? { maxMs: 0, nearMax: 0, total: 0 }
+    this.#routes.set(route, samples)
+    if (remainingMs > samples.maxMs + firstAttemptToleranceMs) samples.nearMax = samples.total = 0
+    samples.maxMs = Math.max(samples.maxMs, remainingMs)
+    samples.total += 1
+    if (remainingMs > samples.maxMs - firstAttemptToleranceMs) samples.nearMax += 1
+    if (samples.total >= decayAfter) {
+      samples.total /= 2
+      samples.nearMax /= 2
     }
-    return seen
+    return samples
   }
 }
--- a/packages/fleet/src/entry/gate.ts
+++ b/packages/fleet/src/entry/gate.ts
@@ -1,8 +1,8 @@
 /**
- * Who may ask for what, by the routing table in force: plain functions.
+ * Admission: matches a request to a route and its API key to a team, by the current routing table.
  *
- * They are asked when a request arrives, before its body is read, and again at each sending, since a request may wait for
- * seconds and a route or a key may go meanwhile.
+ * It is checked when a request arrives, before its body is read, and again before each attempt, since a request may wait for
+ * seconds and its route or key may be removed meanwhile.
  */
 import type { Route, RouteIndex } from '../table.js'
 import type { FleetTeam } from '../team.js'
@@ -11,19 +11,20 @@
 export interface Admitted {
   type: 'admitted'
   route: Route
-  /** Whose request it is; `undefined` where the table knows no teams, or on a public route that needs no key. */
+  /** The team that the request belongs to; `undefined` where the table has no teams, or on a public route without a known key. */
   team: FleetTeam | undefined
-  /** The team's priority, else the route's; 0 is the most urgent. */
+  /** The priority of the team, or else of the route; 0 is the most urgent. */
   priority: number
 }
 
 /**
- * Why a request may not be sent. `key_not_known`: none came, or one that the table doesn't hold. It can't be known now, with
- * `keys_not_confirmed`, whether the table still holds it; with `table_not_confirmed`, whether there is such a route or key by now.
+ * Why a request is not admitted. `key_not_known`: it has no key, or one that the table doesn't contain. `keys_not_confirmed`: the
+ * table may be too stale to tell whether the key was revoked. `table_not_confirmed`: the table may be too stale to tell whether the
+ * route or key was added.
  */
 export type Denial = { type: 'denied', reason: FinalDenial | 'keys_not_confirmed' | 'table_not_confirmed', route: Route | undefined }
 
-/** Asking again is of no use. */
+/** Retrying is useless. */
 export type FinalDenial = 'no_route' | 'key_not_known'
 
 const finalDenials: ReadonlySet<Denial['reason']> = new Set<FinalDenial>(['no_route', 'key_not_known'])
@@ -34,7 +35,7 @@
   host: string
   path: string
   credential: Credential
-  /** It is known that the table is new enough to say who holds a key. */
+  /** The table is proven fresh enough to authenticate keys. */
   confirmed: boolean
 }
 
--- a/packages/fleet/src/entry/identity.ts
+++ b/packages/fleet/src/entry/identity.ts
@@ -1,31 +1,32 @@
 /**
- * The key that came with a request.
+ * Extracts the API key of a request.
  *
- * Two different keys on one request are none: which of them another reader of the request would take can't be known.
+ * A request with two different keys is treated as having an invalid one: another component that reads the request
+ * could pick either of them.
  */
 import type { IncomingMessage } from 'node:http'
 import type { HeaderNames } from '../ports.js'
 import { hashKey, type KeyHash } from '../team.js'
 import { headerPairs } from './delivery.js'
 
-/** `invalid`: something came that is no key. */
+/** `invalid`: the header is there, but is malformed or ambiguous. */
 export type Credential = { type: 'none' } | { type: 'invalid' } | { type: 'key', hash: KeyHash }
 
-/** `SCHEME KEY`, the scheme in any case. */
+/** `SCHEME KEY`; the scheme is case-insensitive. */
 const schemeAndKey = /^\s*(\S+)\s+(\S+)\s*$/
 
 export const credentialOf = (message: IncomingMessage, names: HeaderNames): Credential => {
-  const sent = distinctValues(message, names.key)
-  const [first] = sent
+  const values = distinctValues(message, names.key)
+  const [first] = values
   if (first === undefined) return { type: 'none' }
   const [, scheme, key] = schemeAndKey.exec(first) ?? []
-  if (sent.size > 1 || key === undefined || scheme?.toLowerCase() !== names.keyScheme) return { type: 'invalid' }
+  if (values.size > 1 || key === undefined || scheme?.toLowerCase() !== names.keyScheme) return { type: 'invalid' }
   return { type: 'key', hash: hashKey(key) }
 }
 
-/** All values of a header that the runtime would otherwise cut down to the first. `name` is in lower case. */
+/** All distinct values of a header of which Node keeps only the first in `headers`. `name` must be in lower case. */
 const distinctValues = (message: IncomingMessage, name: string): Set<string> => {
   const values = new Set<string>()
-  for (const [each, value] of headerPairs(message.rawHeaders)) if (each.toLowerCase() === name) values.add(value)
+  for (const [headerName, value] of headerPairs(message.rawHeaders)) if (headerName.toLowerCase() === name) values.add(value)
   return values
 }
--- a/packages/fleet/src/entry/incoming.ts
+++ b/packages/fleet/src/entry/incoming.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller sent: the headers that decide something, read once, and the body.
+ * A request as received from a caller: the headers that decide how it is handled, parsed once, and the body.
  */
 import type { IncomingMessage } from 'node:http'
 import { longestAdapterKey } from '@finchpitch/wire'
@@ -7,25 +7,25 @@
 import type { HeaderNames } from '../ports.js'
 import { headerOf } from './header.js'
 
-/** A caller that states no time. */
+/** Used where a caller states no remaining time. */
 const defaultRemainingMs = 10_000
-const noBytes = Buffer.alloc(0)
-/** No prompt is longer; what a caller states goes into frames between processes, whose fields are bounded. */
-const mostTokens = 10_000_000
+const emptyBuffer = Buffer.alloc(0)
+/** No prompt is longer. The stated number is sent in frames between processes, whose fields are bounded. */
+const maxPromptTokens = 10_000_000
 
-/** Why there is no body: it is over the limit, or the caller went away. */
+/** Why the body could not be read: it exceeds the limit, or the caller disconnected. */
 export type BodyFault = 'too_large' | 'caller_left'
 
 export class Incoming {
   readonly id: string
   readonly host: string
   readonly path: string
-  /** Adapter or model key, where one is named. */
+  /** Adapter or model key, if the request names one. */
   readonly model: string | undefined
-  /** Size of the prompt and most tokens out, as stated. */
+  /** Prompt tokens and maximum of output tokens, as stated (`in,out`). */
   readonly tokens: string | undefined
   readonly promptTokens: number
-  /** Milliseconds that the caller has left. */
+  /** Milliseconds until the caller times out. */
   readonly remainingMs: number
 
   constructor (readonly message: IncomingMessage, names: HeaderNames) {
@@ -34,30 +34,30 @@
     this.path = (message.url ?? '/').split('?')[0] ?? '/'
     this.model = headerOf(message, names.model)
     this.tokens = headerOf(message, names.tokens)
-    this.promptTokens = Math.min(mostTokens, Math.max(0, Number.parseInt(this.tokens ?? '0', 10) || 0))
+    this.promptTokens = Math.min(maxPromptTokens, Math.max(0, Number.parseInt(this.tokens ?? '0', 10) || 0))
     const stated = Number(headerOf(message, names.remainingMs) ?? NaN)
     this.remainingMs = Number.isFinite(stated) && stated >= 0 ? stated : defaultRemainingMs
   }
 
-  /** Names something that no engine can hold. */
+  /** The model key is too long for any engine. */
   get impossible (): boolean {
     return this.model !== undefined && this.model.length > longestAdapterKey
   }
 
-  /** The whole body, of `limit` bytes at most. */
+  /** Reads the body, of at most `limit` bytes. */
   body (limit: number): Promise<Result<Buffer, BodyFault>> {
     const { message } = this
-    const pieces: Buffer[] = []
+    const chunks: Buffer[] = []
     let size = 0
     return new Promise(resolve => {
-      // It may have gone before its body was asked for, and says nothing more then.
+      // A caller that disconnected before the body is read causes no more events.
       if (message.destroyed && !message.readableEnded) resolve(err('caller_left'))
-      message.on('data', (piece: Buffer) => {
-        size += piece.length
-        if (size <= limit) pieces.push(piece)
+      message.on('data', (chunk: Buffer) => {
+        size += chunk.length
+        if (size <= limit) chunks.push(chunk)
         else resolve(err('too_large'))
       })
-      message.on('end', () => resolve(ok(pieces.length === 1 ? pieces[0] ?? noBytes : Buffer.concat(pieces))))
+      message.on('end', () => resolve(ok(chunks.length === 1 ? chunks[0] ?? emptyBuffer : Buffer.concat(chunks))))
       message.on('error', () => resolve(err('caller_left')))
       message.on('close', () => resolve(err('caller_left')))
     })
--- a/packages/fleet/src/entry/key-lease.ts
+++ b/packages/fleet/src/entry/key-lease.ts
@@ -1,28 +1,30 @@
 /**
- * The lease under which an entry sends requests with keys: how old its proof that no key was taken away may be.
+ * The lease under which an entry sends authenticated requests: how old its last proof that the table is fresh, and so that no
+ * key was revoked, may be.
  *
- * Of the time in which a key that was taken away must stop working, a fifth is kept for a request on its way to its server.
- * The rest is divided so that each step of finding a proof has a second try before the lease ends: from 0.3 on an entry that
- * reads the store asks that and others ask a side process near, from 0.4 one elsewhere, from 0.5 they read the store themselves.
+ * Of the time within which a revoked key must stop working, a fifth is reserved for requests in transit to their server. The
+ * rest is divided so that each way to get a proof can be tried twice before the lease expires: from 0.3 on, an entry that reads
+ * the store asks the store, and the others ask a side process in their failure domain; from 0.4 on, one in another failure
+ * domain; from 0.5 on, they read the store themselves.
  */
 import type { Facts } from '../facts.js'
 import type { Limits } from '../ports.js'
 
 const shares = {
-  /** Requests with keys are sent on a proof no older. */
+  /** Authenticated requests are sent while the proof is no older. */
   lease: 0.8,
-  /** A proof from a side process near is asked for. */
+  /** A side process of the same failure domain is asked for a proof. */
   ask: 0.3,
-  /** Side processes of other failure domains are asked too. */
-  askFar: 0.4,
+  /** Side processes of other failure domains are asked as well. */
+  askRemote: 0.4,
   /** The entry watches the store itself. */
-  watchItself: 0.5
+  watch: 0.5
 }
 
 export class KeyLease {
   constructor (private readonly facts: Facts, private readonly limits: () => Pick<Limits, 'revokeMs'>) {}
 
-  /** Requests with keys may be sent. */
+  /** Authenticated requests may be sent. */
   get held (): boolean {
     return !this.#olderThan('lease')
   }
@@ -32,11 +34,11 @@
   }
 
   get askFarDue (): boolean {
-    return this.#olderThan('askFar')
+    return this.#olderThan('askRemote')
   }
 
   get watchDue (): boolean {
-    return this.#olderThan('watchItself')
+    return this.#olderThan('watch')
   }
 
   get #needed (): boolean {
--- a/packages/fleet/src/entry/outgoing.ts
+++ b/packages/fleet/src/entry/outgoing.ts
@@ -1,29 +1,30 @@
 /**
- * A request as it goes to a backend server: what the caller sent, less what only the system may set, and what the
- * system sets.
+ * Builds the request sent to a backend server: the caller's headers without those reserved for the system, plus the
+ * headers that the system sets.
  */
 import type { IncomingMessage } from 'node:http'
 import type { HeaderNames } from '../ports.js'
 import type { Outgoing } from './attempt.js'
 import { passedHeaders } from './delivery.js'
 
-/** What the system sets. */
+/** The values of the headers that the system sets. */
 export interface Marks {
-  /** Milliseconds left. */
+  /** Milliseconds until the deadline. */
   remaining: number
+  /** Id of the server that is meant. */
   server: string
-  /** Set where an engine is asked. */
+  /** Set for requests to engines. */
   engine: { rank: number, version: number | undefined } | undefined
-  /** The team that it belongs to, where the table knows teams and a key came. */
+  /** The team that the request belongs to, where the table has teams and the request a key. */
   team: string | undefined
-  /** The table knows teams, so that neither a caller's key nor a team that it named itself is passed on. */
+  /** The table has teams, so neither the caller's key nor a team header that it set itself is forwarded. */
   keyed: boolean
-  /** Id of the last event that the caller has, where a stream goes on elsewhere. */
+  /** Id of the last event that the caller has received, where a stream is resumed at another server. */
   resumeAt: string | undefined
 }
 
 export const outgoingOf = (request: IncomingMessage, body: Buffer, names: HeaderNames, marks: Marks): Outgoing => {
-  const headers = passedHeaders(request.rawHeaders, notPassed(names, marks))
+  const headers = passedHeaders(request.rawHeaders, removedHeaders(names, marks))
   headers.push(names.remainingMs, String(marks.remaining), names.expectedServer, marks.server)
   if (marks.engine !== undefined) {
     headers.push(names.priority, String(marks.engine.rank))
@@ -36,17 +37,17 @@
   return { method: request.method ?? 'GET', path: request.url ?? '/', headers, body }
 }
 
-/** By what decides: whether the table knows teams, and whether a stream goes on. */
-const knownSets = new Map<string, ReadonlySet<string>>()
+/** Cached by the two flags that determine the set: whether the table has teams, and whether a stream is resumed. */
+const removedHeaderSets = new Map<string, ReadonlySet<string>>()
 
-/** Made once and not for each request. */
-const notPassed = (names: HeaderNames, { resumeAt, keyed }: Marks): ReadonlySet<string> => {
+/** Names of the headers that are not forwarded; computed once per combination and not per request. */
+const removedHeaders = (names: HeaderNames, { resumeAt, keyed }: Marks): ReadonlySet<string> => {
   const id = `${keyed} ${resumeAt !== undefined}`
-  const known = knownSets.get(id)
+  const known = removedHeaderSets.get(id)
   if (known !== undefined) return known
   const set = new Set([...names.reserved, names.remainingMs, 'content-length', 'expect'])
   if (keyed) set.add(names.key).add(names.team)
   if (resumeAt !== undefined) set.add(names.lastEventId)
-  knownSets.set(id, set)
+  removedHeaderSets.set(id, set)
   return set
 }
--- a/packages/fleet/src/entry/own-answers.ts
+++ b/packages/fleet/src/entry/own-answers.ts
@@ -1,8 +1,8 @@
 /**
- * The answers that an entry gives itself: what each status promises is decided here and nowhere else.
+ * Responses that an entry generates itself (local replies). The meaning of each status is defined here and nowhere else.
  *
- * 429 and 503 say that the request has surely not run, and when to come back; 502 and 504 that it may have run; 400, 401,
- * 404 and 413 that asking again is of no use.
+ * 429 and 503: the request has certainly not run; `Retry-After` says when to retry. 502 and 504: it may have run. 400, 401,
+ * 404 and 413: retrying is useless.
  */
 import type { QuarantineCase } from '@finchpitch/decisions'
 import type { HeaderNames } from '../ports.js'
@@ -11,19 +11,19 @@
 import type { Incoming } from './incoming.js'
 import type { RequestRecord } from './request-record.js'
 
-/** When callers are told to come back, unless a server says later: after something may have been loaded or have ended. */
-const leastRetryAfterMs = 250
+/** The shortest `Retry-After`; a server may state a longer one. By then an adapter may be loaded or a running request finished. */
+const minRetryAfterMs = 250
 
-/** An outage of the platform's store takes seconds; a caller that comes back sooner is refused a second time. */
+/** An outage of the platform's store lasts seconds; a caller that retries sooner is refused again. */
 export const outageRetryMs = 2000
 
-/** Most runs have shown by then whether a server ends under the request. */
+/** By then most probes have shown whether the request still terminates its server. */
 const probeRetryMs = 2000
 
 const finalStatuses = { no_route: 404, key_not_known: 401, bad_model: 400, too_large: 413 } as const
 export type FinalReason = keyof typeof finalStatuses
 
-const finalTexts: Record<FinalReason, string> = {
+const finalMessages: Record<FinalReason, string> = {
   no_route: 'no such route',
   key_not_known: 'a key is needed that is known here',
   bad_model: 'the name of the model is too long',
@@ -35,45 +35,45 @@
   delivery: Delivery
   record: RequestRecord
   names: HeaderNames
-  /** When callers should come back while it can't be known what the newest table says. */
+  /** `Retry-After` while the table can't be proven fresh. */
   unconfirmedRetryMs: () => number
 }
 
 export class OwnAnswers {
-  #retryAfterMs = leastRetryAfterMs
+  #retryAfterMs = minRetryAfterMs
 
   constructor (private readonly options: OwnAnswersOptions) {}
 
-  /** Callers are told to come back no sooner. */
+  /** Raises `Retry-After` to at least `ms`. */
   notBefore (ms: number): void {
     this.#retryAfterMs = Math.max(this.#retryAfterMs, ms)
   }
 
-  /** It has surely not run, and may be asked again. Gives the outcome, as all of these do. */
+  /** The request has certainly not run and may be retried. Returns the outcome, as all methods below do. */
   refuse (reason: string): string {
-    this.#promise(503, reason, `not run: ${reason}`, this.#retryAfterMs)
+    this.#rejectNotRun(503, reason, `not run: ${reason}`, this.#retryAfterMs)
     return 'refused'
   }
 
-  /** The quota of its team is used up, and may have room after so long. */
+  /** The quota of its team is exhausted; `readyInMs` estimates when it allows the request. */
   overQuota (readyInMs: number): string {
-    this.#promise(429, 'over_quota', 'not run: the quota of the team is used up', readyInMs)
+    this.#rejectNotRun(429, 'over_quota', 'not run: the quota of the team is used up', readyInMs)
     return 'over_quota'
   }
 
-  /** It ends the servers that run it, and is refused until too few of those ends count. */
+  /** Servers terminated while running it. It is refused until enough of those terminations are too old to count. */
   quarantined ({ servers, leftMs }: QuarantineCase): string {
-    this.#promise(503, `quarantined: ${servers.join(', ')} ended under it`, 'not run: servers ended under this request', Math.round(leftMs))
+    this.#rejectNotRun(503, `quarantined: ${servers.join(', ')} ended under it`, 'not run: servers ended under this request', Math.round(leftMs))
     return 'quarantined'
   }
 
-  /** Its quarantine has lapsed, and another entry runs it to see whether it still ends its server. */
+  /** Its quarantine has expired, and another entry is probing whether it still terminates its server. */
   probedElsewhere (): string {
-    this.#promise(503, 'quarantined: run elsewhere to see whether servers still end under it', 'not run: servers ended under this request', probeRetryMs)
+    this.#rejectNotRun(503, 'quarantined: run elsewhere to see whether servers still end under it', 'not run: servers ended under this request', probeRetryMs)
     return 'quarantined'
   }
 
-  /** It may have run. */
+  /** The request may have run. */
   fail (status: 502 | 504, reason: string): string {
     const { record, delivery } = this.options
     record.reason = reason
@@ -83,23 +83,24 @@
 
   deny ({ reason }: Denial): string {
     if (isFinalDenial(reason)) return this.end(reason)
-    // Another entry may know more at once; where the store answers nobody, none does.
+    // Another entry may have a fresher table; during an outage of the store none does.
     this.notBefore(this.options.unconfirmedRetryMs())
     return this.refuse(reason)
   }
 
+  /** Rejects the request for good. */
   end (reason: FinalReason): string {
     const { incoming, delivery } = this.options
     incoming.message.resume()
-    delivery.own(finalStatuses[reason], {}, finalTexts[reason])
+    delivery.own(finalStatuses[reason], {}, finalMessages[reason])
     return reason
   }
 
-  #promise (status: 429 | 503, reason: string, text: string, retryAfterMs: number): void {
+  #rejectNotRun (status: 429 | 503, reason: string, message: string, retryAfterMs: number): void {
     const { incoming, record, delivery, names } = this.options
-    // The rest of a body that nobody reads would stand before the next request on this connection.
+    // Drains the body: unread bytes would precede the next request on this connection.
     incoming.message.resume()
     record.reason = reason
-    delivery.own(status, { [names.retryAfter]: String(retryAfterMs / 1000) }, text)
+    delivery.own(status, { [names.retryAfter]: String(retryAfterMs / 1000) }, message)
   }
 }
--- a/packages/fleet/src/entry/request-admission.ts
+++ b/packages/fleet/src/entry/request-admission.ts
@@ -1,5 +1,5 @@
 /**
- * One request's admission: whose it is, whether it may be sent now, and what it counts of its team's quota.
+ * Admission of one request: its team, whether it may be sent now, and the quota that it costs.
  */
 import { elapsedMs, nowMs } from '../clock.js'
 import type { Facts } from '../facts.js'
@@ -14,10 +14,10 @@
 
 const noCredential: Credential = { type: 'none' }
 
-/** A proof takes some ms over two processes; where none has come by then, none is available. */
-const confirmMs = 300
-/** The most that a request waits for a proof, as a part of the time that its caller has left. */
-const confirmShare = 0.2
+/** A proof from another process takes a few milliseconds; if none has arrived by then, none is available. */
+const maxProofWaitMs = 300
+/** The longest wait for a proof, as a fraction of the time that the caller has left. */
+const maxProofWaitShare = 0.2
 
 export interface RequestAdmissionOptions {
   facts: Facts
@@ -28,7 +28,7 @@
 }
 
 export class RequestAdmission {
-  /** Read once, and only where the table knows teams. */
+  /** Parsed once, and only where the table has teams. */
   #credential: Credential | undefined
   #reservation: Reservation | undefined
   readonly #arrivedAt = elapsedMs()
@@ -36,22 +36,22 @@
   constructor (private readonly options: RequestAdmissionOptions, private readonly incoming: Incoming) {}
 
   /**
-   * Asked on arrival and before each sending, since routes and keys may go while it waits. A missing route or key may have been
-   * added, so the denial is final only if the table is proved to be current.
+   * Called on arrival and before each attempt, since routes and keys may be removed while the request waits. A missing route or
+   * key may have been added meanwhile, so a denial is final only if the table is proven current.
    */
   async admit (): Promise<Admitted | Denial> {
     const { facts, confirmation } = this.options
-    const until = nowMs() + Math.min(confirmMs, this.incoming.remainingMs * confirmShare)
+    const waitUntil = nowMs() + Math.min(maxProofWaitMs, this.incoming.remainingMs * maxProofWaitShare)
     for (;;) {
-      const admission = this.#lookUp(facts.routes)
+      const admission = this.#check(facts.routes)
       if (admission.type === 'admitted' || !isFinalDenial(admission.reason) || confirmation.isCurrent(this.#arrivedAt)) return admission
-      const leftMs = until - nowMs()
+      const leftMs = waitUntil - nowMs()
       if (leftMs <= 0) return { ...admission, reason: 'table_not_confirmed' }
       await confirmation.nextProof(leftMs)
     }
   }
 
-  /** Sets aside what the request counts, once; gives the ms until that may be there where it isn't. */
+  /** Reserves the quota that the request costs, once. If it isn't available, returns the estimated milliseconds until it is. */
   async reserve ({ team }: Admitted): Promise<number | undefined> {
     const { quotas } = this.options
     const known = this.#reservation
@@ -64,14 +64,14 @@
     return undefined
   }
 
-  /** Spends what was set aside, in the moment of sending; says whether the request may be sent. */
+  /** Spends the reservation just before the request is written. Returns whether it may be sent. */
   spend ({ team }: Admitted): boolean {
     const { lease, quotas } = this.options
     if (team !== undefined && !lease.held) return false
     return this.#reservation === undefined || quotas.spend(this.#reservation)
   }
 
-  #lookUp (routes: RouteIndex | undefined): Admitted | Denial {
+  #check (routes: RouteIndex | undefined): Admitted | Denial {
     const { names, lease } = this.options
     const { host, path, message } = this.incoming
     if (routes === undefined) return { type: 'denied', reason: 'table_not_confirmed', route: undefined }
@@ -79,7 +79,7 @@
     return admit(routes, { host, path, credential: this.#credential ?? noCredential, confirmed: lease.held })
   }
 
-  /** Gives back what was set aside and not spent. */
+  /** Releases an unspent reservation. */
   release (): void {
     if (this.#reservation !== undefined) this.options.quotas.release(this.#reservation)
     this.#reservation = undefined
--- a/packages/fleet/src/entry/request-crashes.ts
+++ b/packages/fleet/src/entry/request-crashes.ts
@@ -1,5 +1,5 @@
 /**
- * One request as `Crashes` knows it: by its fingerprint, which takes the body and the team that it is admitted for.
+ * The crash history of one request, looked up by its fingerprint, which depends on the body and on the team that it is admitted for.
  */
 import type { RequestFingerprint } from '@finchpitch/core'
 import type { QuarantineCase } from '@finchpitch/decisions'
@@ -9,53 +9,53 @@
 import { fingerprintOf } from './fingerprint.js'
 import type { Incoming } from './incoming.js'
 
-const noBytes = Buffer.alloc(0)
+const emptyBuffer = Buffer.alloc(0)
 
 export class RequestCrashes {
-  /** Set once it has been read. */
-  body: Buffer = noBytes
-  /** This entry may send it though its quarantine has only lapsed. */
-  #probing = false
-  /** Made once for a team, which may change with the table while the request waits. */
-  #made: { team: string | undefined, fingerprint: RequestFingerprint } | undefined
+  /** Set once the body has been read. */
+  body: Buffer = emptyBuffer
+  /** This entry was granted the one probe that follows an expired quarantine. */
+  #probeGranted = false
+  /** Cached per team, which may change with the table while the request waits. */
+  #cached: { team: string | undefined, fingerprint: RequestFingerprint } | undefined
 
   constructor (private readonly crashes: Crashes, private readonly incoming: Incoming) {}
 
-  /** Why it is to be sent to no server now: it ends those that run it. */
+  /** Set while the request may be sent to no server, because servers terminated while running it. */
   quarantine (team: FleetTeam | undefined): QuarantineCase | undefined {
     return this.crashes.none ? undefined : this.crashes.quarantine(this.#fingerprint(team))
   }
 
-  /** Whether it may be sent now, which is asked of others where its quarantine has only lapsed. */
+  /** Whether the request may be sent now. After its quarantine has expired, this takes a probe grant from other processes. */
   async mayRun (team: FleetTeam | undefined): Promise<boolean> {
     if (this.crashes.none || !this.crashes.probeDue(this.#fingerprint(team))) return true
-    this.#probing = await this.crashes.probe(this.#fingerprint(team), this.incoming.id)
-    return this.#probing
+    this.#probeGranted = await this.crashes.probe(this.#fingerprint(team), this.incoming.id)
+    return this.#probeGranted
   }
 
-  /** Asked in the moment of sending: whether it may be sent after all. A probe is one sending. */
+  /** Rechecks just before the request is written whether it may be sent. A probe grant allows one attempt. */
   spend (team: FleetTeam | undefined): boolean {
     if (this.crashes.none) return true
-    if (!this.#probing) return this.quarantine(team) === undefined && !this.crashes.probeDue(this.#fingerprint(team))
-    this.#probing = false
+    if (!this.#probeGranted) return this.quarantine(team) === undefined && !this.crashes.probeDue(this.#fingerprint(team))
+    this.#probeGranted = false
     return true
   }
 
-  /** It ran to its end, so it ends no server. */
+  /** The request ran to completion, so it doesn't terminate servers. */
   endedWell (team: FleetTeam | undefined): void {
     if (!this.crashes.none) this.crashes.endedWell(this.#fingerprint(team))
   }
 
-  /** A try that was sent at `sentAt`, on the steady clock, broke off at its server. */
+  /** An attempt that was sent at `sentAt`, on the monotonic clock, failed while its server was running it. */
   brokeOff (server: BackendServer, sentAt: number, team: FleetTeam | undefined): void {
     void this.crashes.brokeOff({ request: this.incoming.id, fingerprint: this.#fingerprint(team), server, sentAt })
   }
 
   #fingerprint (team: FleetTeam | undefined): RequestFingerprint {
     const { host, message: { method, url } } = this.incoming
-    if (this.#made !== undefined && this.#made.team === team?.name) return this.#made.fingerprint
+    if (this.#cached !== undefined && this.#cached.team === team?.name) return this.#cached.fingerprint
     const fingerprint = fingerprintOf({ method, host, url, team: team?.name, body: this.body })
-    this.#made = { team: team?.name, fingerprint }
+    this.#cached = { team: team?.name, fingerprint }
     return fingerprint
   }
 }
--- a/packages/fleet/src/entry/request-record.ts
+++ b/packages/fleet/src/entry/request-record.ts
@@ -1,5 +1,5 @@
 /**
- * What is told of a request at its end: one line, and what is counted.
+ * The access log line and the metrics of one request, written when it ends.
  */
 import type { Log } from '@finchpitch/core'
 import { nowMs } from '../clock.js'
@@ -10,48 +10,48 @@
 import type { RequestTimes } from './request-times.js'
 import type { Holding } from './server-state.js'
 
-/** Characters of a path that are told. */
-const mostPath = 200
+/** Longer paths are truncated in the log. */
+const maxLoggedPathLength = 200
 
-/** A time for the log; none where nothing was measured. */
+/** Rounds a duration for the log; `undefined` where nothing was measured. */
 const rounded = (ms: number | undefined): number | undefined => ms === undefined || !Number.isFinite(ms) ? undefined : Math.round(ms)
 
-/** What an entry knew at the end of a request. */
+/** State of the entry when the request ended. */
 export interface RecordContext {
   /** Version of the routing table in force. */
   table: number | undefined
-  /** Since the table was surely the newest; not finite where nothing was proved. */
+  /** Time since the table was last proven fresh; not finite where it never was. */
   tableAgeMs: number
-  /** What is known of the server that it was sent to last. */
+  /** What the entry knows of the server that the request was last sent to. */
   holding: Holding | undefined
 }
 
 export class RequestRecord {
   route: Route | undefined
-  /** Name of the team whose key came with it. */
+  /** Name of the team that its API key belongs to. */
   team: string | undefined
-  /** The last server that it was sent to. */
+  /** The server of the last attempt. */
   server: BackendServer | undefined
-  /** The last server that would have been chosen and was spared, as it names a limit. */
+  /** The last server that would have been chosen but was skipped because of the rate limit that it states. */
   limitedBy: string | undefined
-  /** Why that server, or why none. */
+  /** Why that server was chosen, or why none was. */
   reason = ''
   tries = 0
-  /** At this entry, for a server or an adapter. */
+  /** Time spent in the queue of this entry, for a server or an adapter. */
   waitedMs = 0
-  /** From its arrival to the last sending. */
+  /** From arrival to the start of the last attempt. */
   sentAtMs: number | undefined
-  /** From the last sending to the first token, as expected then. */
+  /** Time to the first token as estimated for the last attempt. */
   expectedMs: number | undefined
-  /** From its arrival to the first byte of an answer. */
+  /** From arrival to the first byte of a response. */
   firstByteMs: number | undefined
 
   constructor (private readonly incoming: Incoming, private readonly times: RequestTimes) {}
 
-  /** What the end of a request is told with. */
+  /** Writes the log line and counts the request. */
   tell (outcome: string, log: Log, counters: EntryCounters, { table, tableAgeMs, holding }: RecordContext): void {
     const { incoming, times, route, server } = this
-    this.#count(outcome, counters)
+    this.#updateMetrics(outcome, counters)
     log.info('request.ended', {
       request: incoming.id,
       route: route?.name,
@@ -59,8 +59,8 @@
       objectiveMs: route?.objectiveMs,
       table,
       tableAgeMs: rounded(tableAgeMs),
-      // A request that matched no route is known by nothing else.
-      ...(route === undefined ? { host: incoming.host, path: incoming.path.slice(0, mostPath) } : {}),
+      // Without a route, host and path are all that identifies the request.
+      ...(route === undefined ? { host: incoming.host, path: incoming.path.slice(0, maxLoggedPathLength) } : {}),
       key: incoming.model,
       tokens: incoming.tokens,
       server: server?.id,
@@ -80,7 +80,7 @@
     })
   }
 
-  #count (outcome: string, counters: EntryCounters): void {
+  #updateMetrics (outcome: string, counters: EntryCounters): void {
     const kind = this.route?.kind ?? 'none'
     const label = outcome.split(' ')[0] ?? outcome
     counters.ended.inc({ kind, outcome: label })
--- a/packages/fleet/src/entry/request-times.ts
+++ b/packages/fleet/src/entry/request-times.ts
@@ -1,27 +1,27 @@
 /**
- * The times of one request: since it came and since its caller first tried, and what is left.
+ * The timing of one request: the time since it arrived and since its caller's first attempt, and the time left.
  */
 import { nowMs } from '../clock.js'
 import type { Route } from '../table.js'
 import { rankOf, type Urgency } from '../urgency.js'
 
-/** Part of the time left for which a request may wait; the rest serves it, or a second try by its caller. */
+/** The fraction of the time left that a request may wait; the remainder is for serving it, or for a retry by its caller. */
 export const waitShare = 0.45
-/** Part of the objective kept for serving, before the caller leaves: nothing is begun for one that is gone by then. */
+/** The fraction of the objective reserved for serving before the caller disconnects, so that nothing is started for a caller that will be gone. */
 const servingShare = 0.5
-/** Part of the objective for which a request waits for servers that rest; where the rest is longer it is refused at once. */
-const restShare = 0.5
-/** Part of the objective after which a request is refused that nobody could take. */
-const nobodyShare = 0.2
+/** The fraction of the objective that a request waits for servers that asked for backoff; if they ask for longer, it is refused at once. */
+const backoffWaitShare = 0.5
+/** The fraction of the objective after which a request is refused if its service has no servers. */
+const emptyServiceWaitShare = 0.2
 
 export class RequestTimes {
   readonly arrived = nowMs()
-  /** When its time is up, on the steady clock. */
+  /** On the monotonic clock. */
   deadline = Infinity
-  /** How long before this request its caller first tried. */
+  /** How long before this request its caller made its first attempt. */
   firstTriedMs = 0
 
-  /** Since it came. */
+  /** Time since arrival. */
   get ms (): number {
     return nowMs() - this.arrived
   }
@@ -30,31 +30,31 @@
     return this.deadline - nowMs()
   }
 
-  /** Left until it is late; without end once it is, as nothing can be gained any more. */
+  /** Time left to meet the latency objective; `Infinity` once it is missed, as speed gains nothing any more. */
   inTimeMs ({ objectiveMs }: Route): number {
     const left = objectiveMs - this.#elapsedMs
     return left > 0 ? left : Infinity
   }
 
-  /** Its rank among all that wait. `readingMs`: to read its prompt, were it alone. */
+  /** Its rank among waiting requests. `readingMs`: the prefill time of its prompt on an idle engine. */
   rank ({ priority, objectiveMs }: Pick<Urgency, 'priority' | 'objectiveMs'>, readingMs: number): number {
     return rankOf({ priority, objectiveMs, elapsedMs: this.#elapsedMs, readingMs })
   }
 
-  /** Until when it may wait for a server or an adapter: its caller still has to wait for the first token then, and doesn't for ever. */
+  /** Until when it may wait for a server or an adapter, which leaves time for the first token before the caller gives up. */
   waitUntil ({ objectiveMs, patienceMs = Infinity }: Route): number {
-    const leaves = this.arrived + patienceMs - objectiveMs * servingShare
-    return Math.min(nowMs() + this.leftMs * waitShare, leaves)
+    const callerLeavesAt = this.arrived + patienceMs - objectiveMs * servingShare
+    return Math.min(nowMs() + this.leftMs * waitShare, callerLeavesAt)
   }
 
-  /** Until when it may wait for a server that rests: the other half of the objective is left to be served in. */
+  /** Until when it may wait for a server that asked for backoff: the other half of the objective remains for serving. */
   waitForRestUntil (route: Route): number {
-    return Math.min(this.waitUntil(route), nowMs() + route.objectiveMs * restShare)
+    return Math.min(this.waitUntil(route), nowMs() + route.objectiveMs * backoffWaitShare)
   }
 
-  /** Until when it may wait for a service to have servers at all. */
+  /** Until when it may wait for a service that has no servers. */
   waitForAnybodyUntil ({ objectiveMs }: Route): number {
-    return nowMs() + objectiveMs * nobodyShare
+    return nowMs() + objectiveMs * emptyServiceWaitShare
   }
 
   get #elapsedMs (): number {
--- a/packages/fleet/src/entry/service-request.ts
+++ b/packages/fleet/src/entry/service-request.ts
@@ -1,10 +1,11 @@
 /**
- * One request from its arrival to its end at an entry.
+ * Handles one request from arrival to end at an entry process.
  *
- * It is matched against the table in force at the moment of each sending, waits for a place or an adapter while
- * that can still help its caller, and is sent. What may follow a failed try depends on whether it may have run:
- * refused or never sent, it may go elsewhere; otherwise only what is repeatable may, inside the retry budget.
- * Given up, it gets its last answer at once: 503 and when to come back if it has surely not run, else 502 or 504.
+ * Before each attempt the request is matched against the current routing table. It waits for a free slot or an adapter
+ * while that can still help its caller, and is then sent. Whether a failed attempt may be retried depends on whether the
+ * request may have run: a request that was refused or never sent may go to another server; otherwise only a repeatable
+ * one may, within the retry budget. When the entry gives up, it responds at once: 503 with `Retry-After` if the request
+ * has certainly not run, else 502 or 504.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Log } from '@finchpitch/core'
@@ -37,16 +38,16 @@
 import type { ServerLimits } from './server-limits.js'
 import type { WaitingRoom } from './waiting-room.js'
 
-/** Tries of one request that come as far as a server, whatever their end. */
-const mostArrivals = 4
-/** All its tries, those that could not be sent too: a whole failure domain of servers may be out of reach. */
-const mostTries = 12
-/** Silence beyond this many objectives is out of the ordinary. */
-const silentObjectives = 1.5
-/** A stream under way at its time limit is ended by its server; this much later by the entry. */
-const streamSlackMs = 200
-/** Below this, a try can't end in time. */
-const leastRemainingMs = 5
+/** Maximum number of attempts that reach a server, whatever their result. */
+const maxSentAttempts = 4
+/** Maximum number of attempts, including those that could not be sent: a whole failure domain of servers may be unreachable. */
+const maxTotalAttempts = 12
+/** A server that sends nothing for this many objectives is considered unresponsive. */
+const unresponsiveObjectives = 1.5
+/** A server ends a stream at its deadline; the entry cancels it this much later. */
+const streamGraceMs = 200
+/** With less time left, an attempt can't finish before the deadline. */
+const minRemainingMs = 5
 
 export interface ServiceRequestOptions extends RequestAdmissionOptions {
   facts: Facts
@@ -61,36 +62,37 @@
   connects: ConnectLimit
   counters: EntryCounters
   log: Log
-  /** Resolves once this entry has a routing table, or had the time that learning it takes after a start. */
+  /** Resolves once this entry has a routing table, or has had the time that loading it takes after a start. */
   learned: () => Promise<void>
-  /** When callers should come back while this entry has no routing table. */
+  /** `Retry-After` while this entry has no routing table. */
   blindRetryMs: () => number
-  /** When they should while it can't be known what the newest table says. */
+  /** `Retry-After` while the routing table can't be proven fresh. */
   unconfirmedRetryMs: () => number
-  /** The process is about to end: what has not begun may not end in time, and is refused at once. */
+  /** The process is about to exit: new requests might not finish in time and are refused at once. */
   closed: boolean
-  /** Whether the connection should end with this answer. */
+  /** Whether to close the connection after this response. */
   lastAnswer: () => boolean
 }
 
-type Verdict = { type: 'again' } | { type: 'done', outcome: string }
+/** What follows an attempt. */
+type Verdict = { type: 'retry' } | { type: 'done', outcome: string }
 
-const again: Verdict = { type: 'again' }
+const retry: Verdict = { type: 'retry' }
 const done = (outcome: string): Verdict => ({ type: 'done', outcome })
 
-/** A try that has ended. */
-interface Tried {
+/** An attempt that has ended. */
+interface FinishedAttempt {
   server: BackendServer
   asked: Asked
   admitted: Admitted
-  /** When it was written to its server, on the steady clock. */
+  /** When the request was written to its server, on the monotonic clock. */
   sentAt: number
 }
 
-const firstFailure = 500
-const bodyless: ReadonlySet<number> = new Set([204, 304])
+const firstServerErrorStatus = 500
+const bodylessStatuses: ReadonlySet<number> = new Set([204, 304])
 
-/** A header's seconds; 0 where there is none that can be read. */
+/** Parses a header in seconds; 0 where it is missing or invalid. */
 const secondsOf = (header: string | undefined): number => {
   const seconds = Number(header ?? 0)
   return Number.isFinite(seconds) ? seconds : 0
@@ -104,17 +106,19 @@
   readonly #delivery: Delivery
   readonly #answers: OwnAnswers
   readonly #crashes: RequestCrashes
-  readonly #next: NextServer
-  readonly #left = new Cancellation()
+  readonly #nextServer: NextServer
+  readonly #cancellation = new Cancellation()
+  /** Ids of servers that this request is not sent to again. */
   readonly #excluded = new Set<string>()
-  /** A weighted draw of a service, the same for all tries. */
-  readonly #draw = Math.random()
-  /** Tries that came as far as a server; only those weigh on the retry budget. */
-  #arrivals = 0
-  #ran = 0
+  /** Random number that selects a service by weight; the same for all attempts. */
+  readonly #targetDraw = Math.random()
+  /** Attempts that reached a server; only these count against the retry budget. */
+  #sentAttempts = 0
+  /** Attempts that ran or may have run. */
+  #possibleRuns = 0
   #mayHaveRun = false
-  #cutter: EventCutter | undefined
-  #expired = false
+  #framer: EventCutter | undefined
+  #deadlinePassed = false
 
   constructor (private readonly options: ServiceRequestOptions, request: IncomingMessage, response: ServerResponse) {
     this.#incoming = new Incoming(request, options.names)
@@ -122,27 +126,27 @@
     this.#delivery = new Delivery(response, options.lastAnswer)
     this.#admission = new RequestAdmission(options, this.#incoming)
     this.#crashes = new RequestCrashes(options.crashes, this.#incoming)
-    this.#next = new NextServer({ ...options, times: this.#times, record: this.#record, crashes: this.#crashes, left: this.#left })
+    this.#nextServer = new NextServer({ ...options, times: this.#times, record: this.#record, crashes: this.#crashes, left: this.#cancellation })
     this.#answers = new OwnAnswers({ names: options.names, unconfirmedRetryMs: options.unconfirmedRetryMs, incoming: this.#incoming, delivery: this.#delivery, record: this.#record })
-    response.on('close', () => { if (!response.writableFinished) this.#left.cancel() })
+    response.on('close', () => { if (!response.writableFinished) this.#cancellation.cancel() })
   }
 
   async serve (): Promise<void> {
-    const outcome = await this.#serve()
+    const outcome = await this.#handle()
     const { facts, balancer, log, counters } = this.options
     this.#admission.release()
     const holding = balancer.states.get(this.#record.server?.id ?? '')?.holding
     this.#record.tell(outcome, log, counters, { table: facts.routes?.table.version, tableAgeMs: facts.freshness.ageMs, holding })
   }
 
-  async #serve (): Promise<string> {
-    const { facts, closed, firstTries, blindRetryMs } = this.options
+  async #handle (): Promise<string> {
+    const { facts, closed: isStopping, firstTries: estimator, blindRetryMs: retryMs } = this.options
     const { remainingMs } = this.#incoming
-    if (closed) return this.#answers.refuse('stopping')
+    if (isStopping) return this.#answers.refuse('stopping')
     await this.options.learned()
     const routes = facts.routes
     if (routes === undefined) {
-      this.#answers.notBefore(blindRetryMs())
+      this.#answers.notBefore(retryMs())
       return this.#answers.refuse('no_table')
     }
     const admission = await this.#admit()
@@ -152,20 +156,20 @@
     const readyInMs = await this.#admission.reserve(admission)
     if (readyInMs !== undefined) return this.#answers.overQuota(readyInMs)
     this.#times.deadline = this.#times.arrived + Math.min(remainingMs, route.timeoutMs)
-    this.#times.firstTriedMs = firstTries.agoMs(route.name, remainingMs)
+    this.#times.firstTriedMs = estimator.agoMs(route.name, remainingMs)
     const body = await this.#incoming.body(routes.table.limits.bodyBytes)
     if (body.isErr()) return body.error === 'too_large' ? this.#answers.end(body.error) : body.error
-    this.#cutter = route.kind === 'stream' && route.resumable ? new EventCutter() : undefined
-    const timer = setTimeout(() => this.#expire(), Math.max(0, this.#times.leftMs))
+    this.#framer = route.kind === 'stream' && route.resumable ? new EventCutter() : undefined
+    const timer = setTimeout(() => this.#onDeadline(), Math.max(0, this.#times.leftMs))
     try {
       this.#crashes.body = body.value
-      return await this.#tryUntilDone()
+      return await this.#attemptUntilDone()
     } finally {
       clearTimeout(timer)
     }
   }
 
-  async #tryUntilDone (): Promise<string> {
+  async #attemptUntilDone (): Promise<string> {
     for (;;) {
       const { routes, servers } = this.options.facts
       if (routes === undefined) return this.#giveUp('no_table')
@@ -173,22 +177,22 @@
       if (admission.type === 'denied') return this.#mayHaveRun ? this.#answers.fail(502, admission.reason) : this.#answers.deny(admission)
       const readyInMs = await this.#admission.reserve(admission)
       if (readyInMs !== undefined) return this.#mayHaveRun ? this.#answers.fail(502, 'over_quota') : this.#answers.overQuota(readyInMs)
-      // Any server would end under it, with all that it runs. Of ten sends of such a request at four entries ten reached an engine
-      // without this, two or three with it.
+      // Such a request would terminate any server, with all requests that run there. Of ten sent to four entries, all ten reached an
+      // engine without this check, and two or three with it.
       const held = this.#crashes.quarantine(admission.team)
       if (held !== undefined) return this.#mayHaveRun ? this.#answers.fail(502, 'quarantined') : this.#answers.quarantined(held)
       const service = this.#serviceOf(admission.route)
       if (service === undefined) return this.#giveUp('no_service')
       const asked = this.#asked(service, admission)
-      const next = await this.#next.choose(asked, admission)
-      if (next.type === 'left') return this.#abandoned(false)
-      if (next.type === 'nowhere') return this.#giveUpNowhere(next)
+      const next = await this.#nextServer.choose(asked, admission)
+      if (next.type === 'left') return this.#endCancelled(false)
+      if (next.type === 'nowhere') return this.#giveUpWaiting(next)
       const server = next.type === 'chosen' ? servers.get(next.choice.id) : undefined
-      // While it waited, the table may have changed, and with it who may ask for what.
+      // The table may have changed during the wait, so the request has to be admitted again.
       if (next.type === 'anew' || server === undefined || this.options.facts.routes !== routes) continue
-      // What ends its servers would be sent by all entries in the moment in which its quarantine lapses.
+      // Without a probe grant, all entries would send the request the moment its quarantine expires.
       if (!await this.#crashes.mayRun(admission.team)) return this.#mayHaveRun ? this.#answers.fail(502, 'quarantined') : this.#answers.probedElsewhere()
-      const verdict = await this.#try(server, asked, admission, next.choice)
+      const verdict = await this.#attempt(server, asked, admission, next.choice)
       if (verdict.type === 'done') return verdict.outcome
     }
   }
@@ -202,7 +206,7 @@
 
   #serviceOf (route: Route): FleetService | undefined {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0)
-    let left = this.#draw * total
+    let left = this.#targetDraw * total
     const target = route.targets.find(each => (left -= each.weight) < 0) ?? route.targets.at(-1)
     return target === undefined ? undefined : this.options.facts.routes?.service(target.service)
   }
@@ -213,43 +217,43 @@
     return { service, key, promptTokens, inTimeMs: this.#times.inTimeMs(route), priority, excluded: this.#excluded }
   }
 
-  #expire (): void {
-    this.#expired = true
-    if (!this.#delivery.started) this.#left.cancel()
-    else setTimeout(() => this.#left.cancel(), streamSlackMs)
+  #onDeadline (): void {
+    this.#deadlinePassed = true
+    if (!this.#delivery.started) this.#cancellation.cancel()
+    else setTimeout(() => this.#cancellation.cancel(), streamGraceMs)
   }
 
-  async #try (server: BackendServer, asked: Asked, admitted: Admitted, choice: Sending): Promise<Verdict> {
+  async #attempt (server: BackendServer, asked: Asked, admitted: Admitted, choice: Sending): Promise<Verdict> {
     const { balancer, budget, names, counters, connects, facts } = this.options
     const table = facts.routes
     const { route } = admitted
     const remaining = Math.floor(this.#times.leftMs)
-    if (remaining < leastRemainingMs) return done(this.#mayHaveRun ? this.#answers.fail(504, 'timed_out') : this.#answers.refuse('too_late'))
+    if (remaining < minRemainingMs) return done(this.#mayHaveRun ? this.#answers.fail(504, 'timed_out') : this.#answers.refuse('too_late'))
     if (this.#record.tries === 0) budget.first(asked.service.name)
-    if (this.#arrivals > 0 && !budget.repeat(asked.service.name)) return done(this.#giveUp('no_retry_left'))
+    if (this.#sentAttempts > 0 && !budget.repeat(asked.service.name)) return done(this.#giveUp('no_retry_left'))
     const state = balancer.state(server)
-    this.#noteTry(server, asked, choice)
+    this.#recordAttempt(server, asked, choice)
     const { key, promptTokens: tokens, priority } = asked
-    const pending = state.begin({ key, tokens, priority, patienceMs: route.objectiveMs * silentObjectives })
+    const pending = state.begin({ key, tokens, priority, patienceMs: route.objectiveMs * unresponsiveObjectives })
     let sentAt = pending.sentAt
     const end = await attempt({
       agent: state.agent,
       address: server.address,
-      outgoing: outgoingOf(this.#incoming.message, this.#crashes.body, names, this.#marks(server, asked, admitted, remaining)),
+      outgoing: outgoingOf(this.#incoming.message, this.#crashes.body, names, this.#outgoingContext(server, asked, admitted, remaining)),
       requestId: this.#incoming.id,
       serverId: server.id,
       names,
       connectMs: Math.min(connects.ms, remaining),
-      // Under a table that changed, it is asked anew who may ask for what.
+      // If the table has changed, the request has to be admitted again.
       permit: () => {
         sentAt = nowMs()
         return facts.routes === table && balancer.mayTake(server) && this.#spend(server, admitted)
       },
       cameUp: ms => connects.cameUp(ms),
       stream: route.kind === 'stream',
-      cutter: this.#cutter,
+      cutter: this.#framer,
       delivery: this.#delivery,
-      cancellation: this.#left,
+      cancellation: this.#cancellation,
       heard: () => {
         state.heard(pending)
         balancer.heard(pending)
@@ -258,24 +262,24 @@
       said: word => this.options.words.take(word, { server, state, request: this.#incoming.id, sentAt })
     })
     state.end(key, pending)
-    if (end.type !== 'not_sent' && end.type !== 'withheld') this.#arrivals += 1
+    if (end.type !== 'not_sent' && end.type !== 'withheld') this.#sentAttempts += 1
     counters.attempts.inc({ end: end.type })
     this.options.room.pokeFull()
-    return this.#judge(end, { server, asked, admitted, sentAt })
+    return this.#handleEnd(end, { server, asked, admitted, sentAt })
   }
 
-  /** Spends what is counted of the request in the moment of sending; says whether it may be sent. */
+  /** Spends quota, rate limit and probe grant just before the request is written. Returns whether it may be sent. */
   #spend (server: BackendServer, admitted: Admitted): boolean {
     const { serverLimits } = this.options
     const pass = serverLimits.pass(server)
     if (pass === undefined) return false
-    // Tries that waited for a connection as the second server ended would each end one more.
+    // Quarantine is rechecked here: attempts that were still connecting when a second server terminated would each terminate one more.
     if (this.#crashes.spend(admitted.team) && this.#admission.spend(admitted)) return true
     serverLimits.giveBack(pass)
     return false
   }
 
-  #noteTry (server: BackendServer, { key }: Asked, { reason, expectedMs }: Sending): void {
+  #recordAttempt (server: BackendServer, { key }: Asked, { reason, expectedMs }: Sending): void {
     const record = this.#record
     record.tries += 1
     record.server = server
@@ -284,21 +288,21 @@
     record.expectedMs = key === undefined ? undefined : expectedMs
   }
 
-  #marks (server: BackendServer, { key }: Asked, admitted: Admitted, remaining: number): Marks {
+  #outgoingContext (server: BackendServer, { key }: Asked, admitted: Admitted, remaining: number): Marks {
     const { balancer, facts } = this.options
-    const engine = key === undefined ? undefined : { rank: this.#next.rank(admitted, this.#incoming.promptTokens), version: balancer.heldVersion(server, key) }
+    const engine = key === undefined ? undefined : { rank: this.#nextServer.rank(admitted, this.#incoming.promptTokens), version: balancer.heldVersion(server, key) }
     const keyed = facts.routes?.keyed === true
-    return { remaining, server: server.id, engine, team: admitted.team?.name, keyed, resumeAt: this.#cutter?.lastId }
+    return { remaining, server: server.id, engine, team: admitted.team?.name, keyed, resumeAt: this.#framer?.lastId }
   }
 
-  /** What follows from a try's end. */
-  #judge (end: AttemptEnd, at: Tried): Verdict {
-    const judge = ServiceRequest.#judges[end.type] as (self: ServiceRequest, end: AttemptEnd, at: Tried) => Verdict
-    return judge(this, end, at)
+  /** Decides what follows an attempt. */
+  #handleEnd (end: AttemptEnd, at: FinishedAttempt): Verdict {
+    const handle = ServiceRequest.#endHandlers[end.type] as (self: ServiceRequest, end: AttemptEnd, at: FinishedAttempt) => Verdict
+    return handle(this, end, at)
   }
 
-  /** By how a try ended. */
-  static readonly #judges: { [Type in AttemptEnd['type']]: (self: ServiceRequest, end: Extract<AttemptEnd, { type: Type }>, at: Tried) => Verdict } = {
+  /** Handlers by the result of the attempt. */
+  static readonly #endHandlers: { [Type in AttemptEnd['type']]: (self: ServiceRequest, end: Extract<AttemptEnd, { type: Type }>, at: FinishedAttempt) => Verdict } = {
     streamed: (self, _end, { server, admitted }) => {
       self.options.balancer.state(server).outlier.succeeded()
       self.#crashes.endedWell(admitted.team)
@@ -306,78 +310,78 @@
       return done('streamed')
     },
     answer: (self, { status, headers, body }, at) => {
-      const failed = status >= firstFailure
+      const failed = status >= firstServerErrorStatus
       if (failed) self.options.faults.failed(at.server, self.#incoming.id, `status ${status}`)
       else self.options.balancer.state(at.server).outlier.succeeded()
-      self.#ran += 1
+      self.#possibleRuns += 1
       self.#crashes.endedWell(at.admitted.team)
       if (failed && self.#mayRunAgain(at)) {
         self.#mayHaveRun = true
-        return again
+        return retry
       }
-      self.#delivery.whole(status, headers, body, self.#incoming.message.method === 'HEAD' || bodyless.has(status))
+      self.#delivery.whole(status, headers, body, self.#incoming.message.method === 'HEAD' || bodylessStatuses.has(status))
       return done(`answered ${status}`)
     },
     not_sent: (self, { detail }, { server, asked }) => {
       self.options.faults.unreachable(server, self.#incoming.id, detail)
       self.#excluded.add(server.id)
-      return self.#goOn('not_sent', asked)
+      return self.#retryElsewhere('not_sent', asked)
     },
-    withheld: (self, _end, { asked }) => self.#goOn('withheld', asked),
+    withheld: (self, _end, { asked }) => self.#retryElsewhere('withheld', asked),
     not_run: (self, { status, cause, retryAfter }, { server, asked }) => {
       const { key } = asked
       if (self.options.faults.refused({ request: self.#incoming.id, server, status, cause, key, tries: self.#record.tries, retryAfter })) self.#excluded.add(server.id)
-      // A rest that the server asked for is told to callers only where all servers rest.
+      // A backoff that a server asked for is passed on to callers only if all servers ask for one.
       if (status !== turnedAway) self.#answers.notBefore(secondsOf(retryAfter) * 1000)
-      return self.#goOn('refused', asked)
+      return self.#retryElsewhere('refused', asked)
     },
-    cancelled: (self, { sent }) => done(self.#abandoned(sent)),
+    cancelled: (self, { sent }) => done(self.#endCancelled(sent)),
     broken: (self, { detail }, at) => {
-      self.#mayHaveRunAt(at, detail)
-      return self.#mayRunAgain(at) ? again : done(self.#answers.fail(502, 'broken'))
+      self.#recordBroken(at, detail)
+      return self.#mayRunAgain(at) ? retry : done(self.#answers.fail(502, 'broken'))
     },
     interrupted: (self, { detail }, at) => {
-      self.#mayHaveRunAt(at, detail)
-      if (!self.#left.cancelled && self.#mayRunAgain(at)) return again
+      self.#recordBroken(at, detail)
+      if (!self.#cancellation.cancelled && self.#mayRunAgain(at)) return retry
       self.#delivery.cut()
       return done('interrupted')
     }
   }
 
-  /** The try broke off with its server at work. */
-  #mayHaveRunAt ({ server, admitted, sentAt }: Tried, detail: string): void {
+  /** The attempt failed after the request was sent. */
+  #recordBroken ({ server, admitted, sentAt }: FinishedAttempt, detail: string): void {
     this.options.faults.failed(server, this.#incoming.id, detail)
     this.#crashes.brokeOff(server, sentAt, admitted.team)
     this.#mayHaveRun = true
-    this.#ran += 1
+    this.#possibleRuns += 1
   }
 
-  /** It has not run there, and goes elsewhere as long as there are tries left. */
-  #goOn (reason: string, asked: Asked): Verdict {
-    if (this.#triesLeft) return again
+  /** The request has not run, so it goes to another server while attempts are left. */
+  #retryElsewhere (reason: string, asked: Asked): Verdict {
+    if (this.#attemptsLeft) return retry
     const choice = this.options.balancer.choose(asked)
-    return done(isTimed(choice) ? this.#giveUpNowhere(nowhereOf(choice)) : this.#giveUp(reason))
+    return done(isTimed(choice) ? this.#giveUpWaiting(nowhereOf(choice)) : this.#giveUp(reason))
   }
 
-  get #triesLeft (): boolean {
-    return this.#arrivals < mostArrivals && this.#record.tries < mostTries
+  get #attemptsLeft (): boolean {
+    return this.#sentAttempts < maxSentAttempts && this.#record.tries < maxTotalAttempts
   }
 
-  /** Whether it may run once more though it has run, or may have, and another server could take it. */
-  #mayRunAgain ({ server, asked, admitted: { route } }: Tried): boolean {
+  /** Whether the request may run again although it has run or may have run, and another server could take it. */
+  #mayRunAgain ({ server, asked, admitted: { route } }: FinishedAttempt): boolean {
     const repeatable = route.kind === 'repeatable' || (route.kind === 'stream' && route.resumable)
-    return repeatable && this.#triesLeft && this.#ran < route.maxAttempts && this.#mayRepeat(server, asked)
+    return repeatable && this.#attemptsLeft && this.#possibleRuns < route.maxAttempts && this.#anotherCanTake(server, asked)
   }
 
-  /** Whether another server could take the request. */
-  #mayRepeat (server: BackendServer, asked: Asked): boolean {
+  /** Excludes the server from further attempts. Returns whether another one could take the request. */
+  #anotherCanTake (server: BackendServer, asked: Asked): boolean {
     this.#excluded.add(server.id)
     return this.options.balancer.choose(asked).type === 'send'
   }
 
-  /** The caller left, or the time is up. */
-  #abandoned (sent: boolean): string {
-    if (!this.#expired) return 'caller_left'
+  /** The caller disconnected, or the deadline passed. */
+  #endCancelled (sent: boolean): string {
+    if (!this.#deadlinePassed) return 'caller_left'
     if (this.#delivery.started) {
       this.#delivery.cut()
       return 'timed_out'
@@ -385,13 +389,13 @@
     return sent || this.#mayHaveRun ? this.#answers.fail(504, 'timed_out') : this.#answers.refuse('timed_out')
   }
 
-  /** What it needs did not come, or can't come in time. */
-  #giveUpNowhere ({ reason, notBeforeMs }: Nowhere): string {
+  /** No server or adapter became available, or none can in time. */
+  #giveUpWaiting ({ reason, notBeforeMs }: Nowhere): string {
     this.#answers.notBefore(notBeforeMs)
     return this.#giveUp(reason)
   }
 
-  /** There is nowhere left to send it. */
+  /** There is no server left to send it to. */
   #giveUp (reason: string): string {
     return this.#mayHaveRun ? this.#answers.fail(502, reason) : this.#answers.refuse(reason)
   }
--- a/packages/fleet/test/attempt.test.ts
+++ b/packages/fleet/test/attempt.test.ts
@@ -30,13 +30,13 @@
   let server: Server
   let permitted: boolean
   let received: number
-  let said: ServerWord[]
+  let reports: ServerWord[]
   let answer: (response: ServerResponse) => void
 
   beforeEach(async () => {
     permitted = true
     received = 0
-    said = []
+    reports = []
     answer = response => { response.writeHead(200, { 'request-id': 'r', seal: 's' }).end('answer') }
     server = createServer((_request, response) => {
       received += 1
@@ -63,51 +63,51 @@
     delivery: { started: false } as unknown as Delivery,
     cancellation: new Cancellation(),
     heard: () => {},
-    said: word => said.push(word)
+    said: word => reports.push(word)
   })
 
-  it('is not given up for a stall of this process, when the connection came up in time', async () => {
+  it('does not time out during a stall of this process if the connection was established in time', async () => {
     const { port } = server.address() as AddressInfo
     const sent = send(`127.0.0.1:${port}`)
     const until = nowMs() + connectMs * 3
-    while (nowMs() < until) { /* The process is busy. */ }
+    while (nowMs() < until) { /* Blocks the event loop. */ }
     expect((await sent).type).to.equal('answer')
   })
 
-  describe('tells what the server says of itself', () => {
+  describe('reports what the server states about itself', () => {
     const leaving = { leaving: '1' }
     const answers: Record<string, (response: ServerResponse) => void> = {
-      'in a good answer': response => response.writeHead(200, { 'request-id': 'r', seal: 's', ...leaving }).end('answer'),
-      'in an answer whose body breaks off': response => {
+      'in a successful response': response => response.writeHead(200, { 'request-id': 'r', seal: 's', ...leaving }).end('answer'),
+      'in a response whose body is truncated': response => {
         response.writeHead(200, { 'request-id': 'r', seal: 's', 'content-length': '10', ...leaving }).write('part')
         setTimeout(() => response.destroy(), 5)
       },
-      'in a failure of its own': response => response.writeHead(500, { 'request-id': 'r', seal: 's', ...leaving }).end(),
+      'in a server error': response => response.writeHead(500, { 'request-id': 'r', seal: 's', ...leaving }).end(),
       'in a refusal': response => response.writeHead(503, { 'not-run': '1', ...leaving }).end(),
-      'in a refusal without the mark that it has not run': response => response.writeHead(503, leaving).end(),
-      'in a refusal of what it lacks': response => response.writeHead(421, { 'not-run': '1', 'server-id': 's', ...leaving }).end(),
-      'in an answer without a seal': response => response.writeHead(200, { 'request-id': 'r', ...leaving }).end('answer'),
-      'in an answer to another request': response => response.writeHead(200, { 'request-id': 'another', seal: 's', ...leaving }).end('answer'),
-      'in an encoded answer': response => response.writeHead(200, { 'request-id': 'r', seal: 's', 'content-encoding': 'br', ...leaving }).end('answer')
+      'in a refusal without the not-run header': response => response.writeHead(503, leaving).end(),
+      'in a refusal because it lacks the model (421)': response => response.writeHead(421, { 'not-run': '1', 'server-id': 's', ...leaving }).end(),
+      'in a response without a seal': response => response.writeHead(200, { 'request-id': 'r', ...leaving }).end('answer'),
+      'in a response to another request': response => response.writeHead(200, { 'request-id': 'another', seal: 's', ...leaving }).end('answer'),
+      'in an encoded response': response => response.writeHead(200, { 'request-id': 'r', seal: 's', 'content-encoding': 'br', ...leaving }).end('answer')
     }
 
-    for (const [where, respond] of Object.entries(answers)) {
-      it(where, async () => {
+    for (const [title, respond] of Object.entries(answers)) {
+      it(title, async () => {
         answer = respond
         await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-        expect(said.map(word => word.leaving)).to.deep.equal([true])
+        expect(reports.map(word => word.leaving)).to.deep.equal([true])
       })
     }
 
-    it('and takes nothing of another server for it', async () => {
+    it('but ignores the headers of another server', async () => {
       answer = response => response.writeHead(421, { 'not-run': '1', 'server-id': 'another', ...leaving }).end()
       await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-      expect(said).to.deep.equal([])
+      expect(reports).to.deep.equal([])
     })
   })
 
-  describe('tells how long the server wants to rest', () => {
-    const rests: Array<[status: number, retryAfter: string | undefined, restMs: number | undefined]> = [
+  describe('reports the backoff that the server asks for', () => {
+    const backoffs: Array<[status: number, retryAfter: string | undefined, restMs: number | undefined]> = [
       [503, '3', 3000],
       [503, '0.25', 250],
       [503, undefined, undefined],
@@ -122,18 +122,18 @@
       [500, '3', undefined]
     ]
 
-    for (const [status, retryAfter, restMs] of rests) {
+    for (const [status, retryAfter, restMs] of backoffs) {
       for (const mark of [{}, { 'not-run': '1' }]) {
         it(`${status} with ${retryAfter ?? 'nothing'}${'not-run' in mark ? ', not run' : ''}`, async () => {
           answer = response => response.writeHead(status, { 'request-id': 'r', seal: 's', ...mark, ...(retryAfter === undefined ? {} : { 'retry-after': retryAfter }) }).end()
           await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-          expect(said.map(word => word.restMs)).to.deep.equal([restMs])
+          expect(reports.map(word => word.restMs)).to.deep.equal([restMs])
         })
       }
     }
   })
 
-  describe('tells how many requests a second the server takes', () => {
+  describe('reports the rate limit that the server states', () => {
     const limits: Array<[named: string | undefined, perSecond: number | undefined]> = [
       ['4.8', 4.8],
       [' 1.3 ', 1.3],
@@ -157,17 +157,17 @@
         it(`${status} with ${named === undefined ? 'nothing' : `"${named.slice(0, 12)}"`}`, async () => {
           answer = response => response.writeHead(status, { 'request-id': 'r', seal: 's', ...(named === undefined ? {} : { limit: named }) }).end()
           await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-          expect(said.map(word => word.limitPerSecond)).to.deep.equal([perSecond])
+          expect(reports.map(word => word.limitPerSecond)).to.deep.equal([perSecond])
         })
       }
     }
   })
 
-  it('has surely not been sent where nothing listens', async () => {
+  it('ends as not sent where nothing listens', async () => {
     expect(await send('127.0.0.1:9')).to.include({ type: 'not_sent' })
   })
 
-  it('sends nothing once it may no longer be sent, though it might when it began', async () => {
+  it('sends nothing if the permission is withdrawn while it connects', async () => {
     const { port } = server.address() as AddressInfo
     const end = send(`127.0.0.1:${port}`)
     permitted = false
--- a/packages/fleet/test/caller-connections.test.ts
+++ b/packages/fleet/test/caller-connections.test.ts
@@ -5,7 +5,7 @@
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-describe('callers\' connections', () => {
+describe('caller connections', () => {
   let time: FakeTime
   let server: EventEmitter
   let connections: CallerConnections
@@ -25,7 +25,7 @@
     return socket
   }
 
-  it('are kept while no other entry comes, also when one goes', async () => {
+  it('are kept while no entry joins, also when one leaves', async () => {
     const socket = open()
     await time.pass(60_000)
     connections.noteEntries(1)
@@ -33,7 +33,7 @@
     expect(connections.isOld(socket)).to.equal(false)
   })
 
-  it('are kept when the first entries are learned of', async () => {
+  it('are kept when the number of entries becomes known', async () => {
     connections.noteEntries(0)
     const socket = open()
     connections.noteEntries(3)
@@ -41,18 +41,18 @@
     expect(connections.isOld(socket)).to.equal(false)
   })
 
-  it('are ended one after the other once another has come, those since then kept', async () => {
+  it('are closed one by one after an entry joins, except those opened later', async () => {
     const before = Array.from({ length: 100 }, open)
     connections.noteEntries(3)
-    const ended = (): number => before.filter(socket => connections.isOld(socket)).length
+    const closedCount = (): number => before.filter(socket => connections.isOld(socket)).length
     await time.pass(1400)
-    expect(ended()).to.equal(0)
+    expect(closedCount()).to.equal(0)
     await time.pass(1350)
-    expect(ended()).to.be.within(20, 80)
+    expect(closedCount()).to.be.within(20, 80)
     await time.pass(1300)
-    expect(ended()).to.equal(100)
-    const since = open()
+    expect(closedCount()).to.equal(100)
+    const later = open()
     await time.pass(60_000)
-    expect(connections.isOld(since)).to.equal(false)
+    expect(connections.isOld(later)).to.equal(false)
   })
 })
--- a/packages/fleet/test/fingerprint.test.ts
+++ b/packages/fleet/test/fingerprint.test.ts
@@ -4,11 +4,11 @@
 const request: FingerprintedRequest = { method: 'POST', host: 'a.example', url: '/p/1?x=2', team: 'red', body: Buffer.from('{"ask":"a secret"}') }
 
 describe('the fingerprint of a request', () => {
-  it('is the same for each try', () => {
+  it('is the same for each retry', () => {
     expect(fingerprintOf({ ...request, body: Buffer.from(request.body) })).to.equal(fingerprintOf(request))
   })
 
-  const others: Array<[string, Partial<FingerprintedRequest>]> = [
+  const variations: Array<[string, Partial<FingerprintedRequest>]> = [
     ['method', { method: 'PUT' }],
     ['host', { host: 'b.example' }],
     ['path', { url: '/p/2?x=2' }],
@@ -16,17 +16,17 @@
     ['team', { team: 'blue' }],
     ['body', { body: Buffer.from('{"ask":"another"}') }]
   ]
-  for (const [what, more] of others) {
-    it(`is another for another ${what}`, () => {
-      expect(fingerprintOf({ ...request, ...more })).to.not.equal(fingerprintOf(request))
+  for (const [what, changed] of variations) {
+    it(`differs for another ${what}`, () => {
+      expect(fingerprintOf({ ...request, ...changed })).to.not.equal(fingerprintOf(request))
     })
   }
 
-  it('tells a request without a team from one of a team without a name', () => {
+  it('distinguishes no team from a team with an empty name', () => {
     expect(fingerprintOf({ ...request, team: undefined })).to.not.equal(fingerprintOf({ ...request, team: '' }))
   })
 
-  it('has 96 bits, and nothing of what was asked can be read from it', () => {
+  it('is a 96-bit hash that reveals nothing of the request', () => {
     expect(fingerprintOf(request)).to.match(/^[\w-]{16}$/)
   })
 })
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -32,15 +32,15 @@
     await pause(700)
   })
 
-  describe('answers', () => {
-    it('whole streams, with the seal of the server that made them', async () => {
+  describe('responses', () => {
+    it('are complete streams, with the seal of the server that produced them', async () => {
       const reply = await ask({ path: '/stream/x', id: nextId(), model: 'base/a1' })
       expect(reply).to.include({ status: 200, whole: true })
       expect(reply.body.match(/^id: /gm)).to.have.length(5)
       expect(reply.headers['response-seal']).to.match(/^seal-engine/)
     })
 
-    it('with what the caller sent, less what only the system may set', async () => {
+    it('come from requests that keep the caller\'s headers, except those reserved for the system', async () => {
       const id = nextId()
       await ask({ path: '/stream/x?y=1', id, model: 'base/a1', headers: { hold: 'h', 'request-priority': '0', 'x-own': 'kept', 'expect-instance': 'other', connection: 'x-hop', 'x-hop': '1' } })
       const headers = fleet.engines.map(engine => engine.headers.get(id)).find(each => each !== undefined)
@@ -50,7 +50,7 @@
       expect(Number(headers?.['deadline-ms'])).to.be.within(1, 3000)
     })
 
-    it('leave links between processes whole, whatever a caller states', async () => {
+    it('do not break connections between processes, whatever the caller\'s headers say', async () => {
       const before = fleet.lines(fleet.entries[0] as never).filter(line => line.event === 'side.lost').length
       const huge = await ask({ path: '/stream/x', id: nextId(), model: 'base/a1', headers: { 'token-usage': `${'9'.repeat(30)},1` } })
       expect(huge).to.include({ status: 200, whole: true })
@@ -61,14 +61,14 @@
       expect(fleet.lines(fleet.entries[0] as never).filter(line => line.event === 'side.lost')).to.have.length(before)
     })
 
-    it('404 for what no route leads to', async () => {
+    it('are 404 if no route matches', async () => {
       expect(await ask({ path: '/nowhere/x', id: nextId() })).to.include({ status: 404 })
     })
   })
 
-  describe('a request that may not be repeated', () => {
+  describe('a request that is not repeatable', () => {
     for (const fault of ['reset', 'torn', 'unsealed', 'foreign'] as const) {
-      it(`is told as possibly run, and run once, when the answer is ${fault}`, async () => {
+      it(`is reported as possibly run, and runs once, if the response is ${fault}`, async () => {
         setFault(fleet.plain, fault)
         const id = nextId()
         expect(await ask({ path: '/once/x', id })).to.include({ status: 502, whole: true })
@@ -76,7 +76,7 @@
       })
     }
 
-    it('is told as possibly run at its time limit, no earlier and at once', async () => {
+    it('is reported as possibly run promptly at its deadline, and no earlier', async () => {
       setFault(fleet.plain, 'mute')
       const id = nextId()
       const started = Date.now()
@@ -85,13 +85,13 @@
       expect(runsOf(id)).to.equal(1)
     })
 
-    it('goes to another server when the first proves that it did not run', async () => {
+    it('goes to another server if the first states that it did not run', async () => {
       setFault(fleet.plain.slice(0, 1), 'shedding')
       const replies = await Promise.all(Array.from({ length: 6 }, async () => await ask({ path: '/once/x', id: nextId() })))
       expect(replies.map(reply => reply.status)).to.deep.equal([200, 200, 200, 200, 200, 200])
     })
 
-    it('is refused as not run, with when to come back, when all refuse', async () => {
+    it('is refused as not run, with Retry-After, if all servers refuse', async () => {
       setFault(fleet.plain, 'shedding')
       const id = nextId()
       const started = Date.now()
@@ -103,14 +103,14 @@
     })
   })
 
-  describe('a request that may be repeated', () => {
-    it('is tried at another server after a failure', async () => {
+  describe('a repeatable request', () => {
+    it('is retried at another server after a failure', async () => {
       setFault(fleet.plain.slice(0, 1), 'failing')
       const replies = await Promise.all(Array.from({ length: 8 }, async () => await ask({ path: '/again/x', id: nextId() })))
       expect(replies.every(reply => reply.status === 200)).to.equal(true)
     })
 
-    it('is not told as not run when it failed and its service is gone from the table by then', async () => {
+    it('is not reported as not run if it failed and its service was removed from the table meanwhile', async () => {
       setFault(fleet.plain, 'failing')
       for (const server of fleet.plain) server.options.workMs = 800
       const table = fleet.table(1) as { routes: Array<Record<string, unknown>> }
@@ -125,7 +125,7 @@
       expect(status).to.equal(502)
     })
 
-    it('is not told as not run when it failed at one server and the other refuses', async () => {
+    it('is not reported as not run if it failed at one server and the other refuses', async () => {
       setFault(fleet.plain.slice(0, 1), 'failing')
       setFault(fleet.plain.slice(1), 'shedding')
       const ids = Array.from({ length: 8 }, nextId)
@@ -135,7 +135,7 @@
       expect(ran.map(reply => reply.status)).to.not.include(503)
     })
 
-    it('gets the failure as it was when every server fails', async () => {
+    it('gets the error response unchanged if every server fails', async () => {
       setFault(fleet.plain, 'failing')
       const reply = await ask({ path: '/again/x', id: nextId() })
       expect(reply.status).to.equal(500)
@@ -143,14 +143,14 @@
     })
   })
 
-  describe('a stream that breaks off', () => {
-    it('never looks whole', async () => {
+  describe('a truncated stream', () => {
+    it('never looks complete', async () => {
       await ask({ path: '/stream/x', id: nextId(), model: 'base/a1' })
       setFault(fleet.engines, 'torn')
       expect(await ask({ path: '/stream/x', id: nextId(), model: 'base/a1' })).to.include({ status: 200, whole: false })
     })
 
-    it('goes on at another engine where it may be resumed, without a gap or a repeat', async () => {
+    it('is resumed at another engine where allowed, without missing or duplicate events', async () => {
       await Promise.all([0, 1].map(async entry => await ask({ path: '/resume/x', id: nextId(), model: 'base', entry })))
       const breaking = fleet.engines[0]
       if (breaking !== undefined) breaking.fault = 'torn'
@@ -160,16 +160,16 @@
     })
   })
 
-  it('stops the server\'s work when the caller leaves', async () => {
+  it('cancels the request at the server when the caller disconnects', async () => {
     setFault(fleet.plain, 'mute')
     const id = nextId()
-    const gone = await ask({ path: '/again/x', id, leaveAfterMs: 100 }).catch(() => undefined)
-    expect(gone).to.equal(undefined)
-    await eventually('the server sees the caller leave', () => fleet.plain.some(server => server.left.includes(id)), 1000)
+    const abandoned = await ask({ path: '/again/x', id, leaveAfterMs: 100 }).catch(() => undefined)
+    expect(abandoned).to.equal(undefined)
+    await eventually('the server notices that the caller disconnected', () => fleet.plain.some(server => server.left.includes(id)), 1000)
   })
 
-  describe('orders', () => {
-    it('bring back at once what an engine turns out not to hold, without doubting the engine', async () => {
+  describe('adapter orders', () => {
+    it('reload an adapter at once that an engine turns out not to hold, without ejecting the engine', async () => {
       await ask({ path: '/stream/x', id: nextId(), model: 'base/g1' })
       for (const engine of fleet.engines) engine.adapters.delete('g1')
       const id = nextId()
@@ -182,14 +182,14 @@
       expect(refusals).to.have.length.at.most(2)
     })
 
-    it('never go beyond an engine\'s places, whatever is asked for', async () => {
+    it('never exceed the adapter slots of an engine, whatever is requested', async () => {
       const replies = await Promise.all(Array.from({ length: 20 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/b${each}`, entry: each % 2 })))
       expect(fleet.engines.some(engine => engine.fell)).to.equal(false)
       expect(replies.filter(reply => reply.status === 200)).to.have.length.at.least(10)
       expect(replies.every(reply => reply.status === 200 || reply.status === 503)).to.equal(true)
     })
 
-    it('stay right when answers are lost and orders are carried out late', async () => {
+    it('stay consistent if responses are lost and orders are executed late', async () => {
       for (const engine of fleet.engines) engine.lateOrdersMs = 900
       await Promise.all(Array.from({ length: 12 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/c${each}`, entry: each % 2 })))
       for (const engine of fleet.engines) engine.lateOrdersMs = 0
@@ -198,7 +198,7 @@
       expect(fleet.engines.some(engine => engine.fell)).to.equal(false)
     })
 
-    it('go on while every second answer is lost', async () => {
+    it('continue while every second response is lost', async () => {
       for (const engine of fleet.engines) Object.assign(engine, { lateOrdersMs: 6000, lateEvery: 2 })
       const started = Date.now()
       for (let each = 0; each < 4; each++) {
@@ -210,7 +210,7 @@
       expect(fleet.engines.some(engine => engine.fell)).to.equal(false)
     })
 
-    it('bring a named version in, and requests use it', async () => {
+    it('load a newly published version, and requests use it', async () => {
       await ask({ path: '/stream/x', id: nextId(), model: 'base/e1' })
       fleet.store.put('versions', 'base.e1', { model: 'base', adapter: 'e1', version: 2 })
       await pause(2500)
@@ -225,7 +225,7 @@
       const [side] = fleet.sides
       if (engine === undefined || side === undefined) throw new Error('there is an engine')
       engine.restart('engine-d0-0-again')
-      await eventually('its model is back', () => engine.hasModel, 1500)
+      await eventually('its model is loaded again', () => engine.hasModel, 1500)
       const moved = fleet.lines(side).filter(line => line.event === 'engine.ordered' && line.outcome === 'moved')
       expect(moved).to.have.length.at.most(2)
       fleet.register(engine, side.ip, 'd0')
@@ -234,7 +234,7 @@
       expect(await ask({ path: '/stream/x', id: nextId(), model: 'base/h1' })).to.include({ status: 200 })
     })
 
-    it('are had from another engine when the side process asked says nothing', async () => {
+    it('are sent through another side process if the nearest one does not respond', async () => {
       const near = fleet.sides.find(each => each.name.startsWith('side-d0'))
       if (near?.process === undefined) throw new Error('there is a side process near entry 0')
       near.process.kill('SIGSTOP')
@@ -244,9 +244,9 @@
       await pause(settleMs)
     })
 
-    it('are waited for while no side process can be asked', async () => {
+    it('are waited for while no side process responds', async () => {
       for (const side of fleet.sides) side.process?.kill('SIGSTOP')
-      // Longer than any is believed to be there in silence, and shorter than its connection lasts.
+      // Long enough for the entry to consider silent side processes unavailable, and too short for their connections to time out.
       await pause(2200)
       const asked = ask({ path: '/stream/x', id: nextId(), model: 'base/w1', remainingMs: 5000 })
       await pause(300)
@@ -255,7 +255,7 @@
       await pause(settleMs)
     })
 
-    it('go on with a side process that was killed and started again', async () => {
+    it('continue after a side process was killed and restarted', async () => {
       const [side] = fleet.sides
       if (side === undefined) throw new Error('there is a side process')
       await fleet.kill(side)
@@ -270,9 +270,9 @@
     })
   })
 
-  describe('while the store is away', () => {
+  describe('during an outage of the store', () => {
     for (const fault of ['busy', 'reset', 'silent'] as const) {
-      it(`goes on with what it knows (${fault}), and learns the rest after`, async () => {
+      it(`continues with its last known state (${fault}), and catches up afterwards`, async () => {
         fleet.store.fault = fault
         await pause(300)
         expect(await ask({ path: '/once/x', id: nextId() })).to.include({ status: 200 })
@@ -288,7 +288,7 @@
       })
     }
 
-    it('reads everything again when the history is gone', async () => {
+    it('reads everything again if the history was compacted', async () => {
       fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10))
       fleet.store.compact()
       await pause(1500)
@@ -296,8 +296,8 @@
     })
   })
 
-  describe('a planned stop', () => {
-    it('ends whole what is in progress, refuses callers at once, and closes what rests', async () => {
+  describe('a graceful shutdown', () => {
+    it('completes requests in progress, reports not ready at once, and closes keep-alive connections', async () => {
       const entry = fleet.entries[1]
       if (entry === undefined) throw new Error('there are two entries')
       const agent = new Agent({ keepAlive: true })
@@ -317,7 +317,7 @@
     })
   })
 
-  it('refuses what comes on an open connection once a planned stop has no time left to serve it', async () => {
+  it('refuses a request on an open connection once a graceful shutdown leaves no time to serve it', async () => {
     const entry = fleet.entries[1]
     if (entry === undefined) throw new Error('there are two entries')
     const slowMs = 900
@@ -341,7 +341,7 @@
     await pause(settleMs)
   })
 
-  it('serves what comes while an entry that starts has not read the store yet', async () => {
+  it('serves requests that arrive before a starting entry has read the store', async () => {
     const [entry] = fleet.entries
     if (entry === undefined) throw new Error('there is an entry')
     await fleet.kill(entry)
@@ -359,7 +359,7 @@
     await pause(settleMs)
   })
 
-  it('ends callers\' connections once another entry has come', async () => {
+  it('closes caller connections after another entry has joined', async () => {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
     const ask0 = async (): Promise<Reply> => await ask({ path: '/again/x', id: nextId(), agent })
     const [, other] = fleet.entries
@@ -378,7 +378,7 @@
     expect(last).to.equal('close')
   })
 
-  it('can be followed from a request\'s id to its cause by the logs', async () => {
+  it('logs everything about a request under its id', async () => {
     setFault(fleet.plain, 'shedding')
     const id = nextId()
     await ask({ path: '/once/x', id })
@@ -404,7 +404,7 @@
 
   after(async () => { await fleet.stop() })
 
-  it('still gets past servers that can not be reached, since nothing was sent there', async () => {
+  it('still gets past unreachable servers, since nothing was sent there', async () => {
     const [server] = fleet.plain
     if (server === undefined) throw new Error('there is a plain server')
     for (let each = 0; each < 12; each++) fleet.register(new BackendStandIn({ ...server.options, id: `dark-${each}` }), `127.32.0.${220 + each}`, 'd0')
@@ -417,7 +417,7 @@
   })
 })
 
-describe('an entry that finds neither the store nor a peer', function () {
+describe('an entry that reaches neither the store nor a peer', function () {
   this.timeout(30_000)
   let fleet: FleetSystem
 
@@ -430,7 +430,7 @@
 
   after(async () => { await fleet.stop() })
 
-  it('refuses at once, and tells callers to come back after the time of an outage', async () => {
+  it('refuses at once, with a Retry-After suited to an outage', async () => {
     const started = Date.now()
     const headers = { host: 'fleet.example', 'request-id': 'blind', 'deadline-ms': '3000' }
     const answer = await new Promise<{ status: number, retryAfter: number }>((resolve, reject) => {
--- a/packages/fleet/test/request-times.test.ts
+++ b/packages/fleet/test/request-times.test.ts
@@ -18,14 +18,14 @@
 
   afterEach(() => time.restore())
 
-  it('have it wait no longer than its caller stays, less the time to serve it', () => {
+  it('limit the wait to the caller\'s patience less the time to serve the request', () => {
     expect(times.waitUntil(route) - nowMs()).to.equal(2100)
     expect(times.waitUntil({ ...route, patienceMs: undefined }) - nowMs()).to.equal(6750)
     times.deadline = times.arrived + 2000
     expect(times.waitUntil(route) - nowMs()).to.equal(900)
   })
 
-  it('run from the caller\'s first try, and have no end to be in time for once it is late', async () => {
+  it('run from the caller\'s first attempt, with no time limit once the objective is missed', async () => {
     await time.pass(200)
     expect(times.inTimeMs(route)).to.be.closeTo(400, 5)
     times.firstTriedMs = 300
--- a/packages/fleet/test/teams.test.ts
+++ b/packages/fleet/test/teams.test.ts
@@ -22,34 +22,34 @@
 })
 
 describe('teams', () => {
-  describe('the key of a request', () => {
-    const spellings: Array<[string, string[]]> = [
+  describe('the API key of a request', () => {
+    const accepted: Array<[string, string[]]> = [
       ['plain', ['Authorization', 'Token red-1']],
       ['in lower case', ['authorization', 'token red-1']],
-      ['in capitals', ['AUTHORIZATION', 'TOKEN red-1']],
-      ['with more blanks', ['Authorization', ' Token   red-1 ']],
-      ['twice alike', ['Authorization', 'Token red-1', 'authorization', 'Token red-1']]
+      ['in upper case', ['AUTHORIZATION', 'TOKEN red-1']],
+      ['with extra spaces', ['Authorization', ' Token   red-1 ']],
+      ['repeated identically', ['Authorization', 'Token red-1', 'authorization', 'Token red-1']]
     ]
-    for (const [spelling, raw] of spellings) {
-      it(`is read ${spelling}`, () => {
+    for (const [spelling, raw] of accepted) {
+      it(`is accepted ${spelling}`, () => {
         expect(credentialOf(message(raw), names)).to.deep.equal({ type: 'key', hash: hashKey('red-1') })
       })
     }
 
-    const faulty: Array<[string, string[]]> = [
-      ['two different ones', ['Authorization', 'Token red-1', 'Authorization', 'Token blue-1']],
+    const rejected: Array<[string, string[]]> = [
+      ['two different keys', ['Authorization', 'Token red-1', 'Authorization', 'Token blue-1']],
       ['another scheme', ['Authorization', 'Basic red-1']],
       ['no scheme', ['Authorization', 'red-1']],
       ['nothing after the scheme', ['Authorization', 'Token']],
       ['two words', ['Authorization', 'Token red-1 blue-1']]
     ]
-    for (const [what, raw] of faulty) {
-      it(`is none that can be known with ${what}`, () => {
+    for (const [what, raw] of rejected) {
+      it(`is invalid with ${what}`, () => {
         expect(credentialOf(message(raw), names)).to.deep.equal({ type: 'invalid' })
       })
     }
 
-    it('is missing where no header says it', () => {
+    it('is missing without the header', () => {
       expect(credentialOf(message(['X-Authorization', 'Token red-1']), names)).to.deep.equal({ type: 'none' })
     })
   })
@@ -57,23 +57,23 @@
   describe('admission', () => {
     const key = (text: string): Parameters<typeof admit>[1]['credential'] => ({ type: 'key', hash: hashKey(text) })
 
-    it('names the team that holds the key, whose priority goes first', () => {
+    it('identifies the team by its key and prefers the priority of the team', () => {
       expect(admit(routes, { host: 'h', path: '/p/x', credential: key('red-2'), confirmed: true })).to.deep.include({ type: 'admitted', priority: 1 })
       expect(admit(routes, { host: 'h', path: '/p/x', credential: key('blue-1'), confirmed: true })).to.deep.include({ type: 'admitted', priority: 2 })
     })
 
-    it('denies a key that the table does not hold, none and an invalid one', () => {
+    it('denies an unknown, a missing and an invalid key', () => {
       for (const credential of [key('red-3'), { type: 'none' } as const, { type: 'invalid' } as const]) {
         expect(admit(routes, { host: 'h', path: '/p/x', credential, confirmed: true })).to.deep.include({ type: 'denied', reason: 'key_not_known' })
       }
     })
 
-    it('asks for no key on a public route, and believes none that it does not know', () => {
+    it('requires no key on a public route and ignores an unknown one', () => {
       const admitted = admit(routes, { host: 'h', path: '/open/x', credential: key('red-3'), confirmed: true })
       expect(admitted).to.deep.include({ type: 'admitted', team: undefined })
     })
 
-    it('says nothing of keys while the table may be old, known or not', () => {
+    it('neither accepts nor rejects a key while the table may be stale', () => {
       for (const credential of [key('red-1'), key('red-3')]) {
         expect(admit(routes, { host: 'h', path: '/p/x', credential, confirmed: false })).to.deep.include({ type: 'denied', reason: 'keys_not_confirmed' })
       }
@@ -82,32 +82,32 @@
       expect(admit(routes, { host: 'h', path: '/open/x', credential: key('red-1'), confirmed: false })).to.deep.include({ reason: 'keys_not_confirmed' })
     })
 
-    it('tells a missing route before a missing key', () => {
+    it('reports a missing route before a missing key', () => {
       expect(admit(routes, { host: 'h', path: '/q/x', credential: { type: 'none' }, confirmed: true })).to.deep.include({ type: 'denied', reason: 'no_route' })
     })
   })
 
-  describe('what goes to a server', () => {
+  describe('the request sent to a server', () => {
     const marks: Marks = { remaining: 100, server: 'i', engine: undefined, team: 'red', keyed: true, resumeAt: undefined }
     const sent = (raw: string[], more: Partial<Marks> = {}): string[] => outgoingOf(message(raw), Buffer.alloc(0), names, { ...marks, ...more }).headers
     const valuesOf = (headers: string[], name: string): string[] => headers.filter((_value, at) => at % 2 === 1 && headers[at - 1]?.toLowerCase() === name)
 
-    it('never has the key, in no spelling and number', () => {
+    it('never contains the key, however spelled or repeated', () => {
       const headers = sent(['Authorization', 'Token red-1', 'AUTHORIZATION', 'Token red-1', 'authorization', 'x'])
       expect(valuesOf(headers, 'authorization')).to.deep.equal([])
       expect(headers.join()).to.not.include('red-1')
     })
 
-    it('has the team by its name, whatever the caller named', () => {
+    it('contains the name of the team, whatever the caller set', () => {
       expect(valuesOf(sent(['Tenant', 'blue', 'TENANT', 'green']), 'tenant')).to.deep.equal(['red'])
       expect(valuesOf(sent(['Tenant', 'blue', 'Connection', 'tenant']), 'tenant')).to.deep.equal(['red'])
     })
 
-    it('has no team where none is known', () => {
+    it('contains no team if none is known', () => {
       expect(valuesOf(sent(['Tenant', 'blue'], { team: undefined }), 'tenant')).to.deep.equal([])
     })
 
-    it('is left as it came where the table knows no teams', () => {
+    it('keeps these headers unchanged if the table has no teams', () => {
       const headers = sent(['Authorization', 'Token x', 'Tenant', 'blue'], { team: undefined, keyed: false })
       expect(valuesOf(headers, 'authorization')).to.deep.equal(['Token x'])
       expect(valuesOf(headers, 'tenant')).to.deep.equal(['blue'])
@@ -127,12 +127,12 @@
       fleet = new FleetSystem({ network: 45, domains: 1, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
       await fleet.start()
       publish(tenants('red-key-one', 'red-key-two'))
-      await eventually('keys are asked for', async () => (await ask({ path: '/once/x' })).status === 401)
+      await eventually('keys are required', async () => (await ask({ path: '/once/x' })).status === 401)
     })
 
     after(async () => { await fleet.stop() })
 
-    it('a request with a key runs for its team, and its server sees no key', async () => {
+    it('runs a request with a key for its team, without passing the key on', async () => {
       const id = 'team-request-known'
       expect(await ask({ id, path: '/once/x', headers: { ...withKey('red-key-one'), tenant: 'blue' } })).to.include({ status: 200 })
       const headers = fleet.plain[0]?.headers.get(id)
@@ -140,14 +140,14 @@
       expect(headers).to.not.have.property('authorization')
     })
 
-    it('one without, or with another, is told so before its body is read, and does not run', async () => {
+    it('rejects a request with an unknown key or with two different keys, and does not run it', async () => {
       const id = 'team-request-unknown'
       expect(await ask({ id, path: '/once/x', headers: withKey('green-key') })).to.include({ status: 401 })
       expect(await ask({ path: '/stream/x', model: 'base/a1', headers: { authorization: ['Token red-key-one', 'Token green-key'] } })).to.include({ status: 401 })
       expect(fleet.plain[0]?.ran).to.not.include(id)
     })
 
-    it('a key that is taken away stops working, also for a request that waits', async () => {
+    it('applies the revocation of a key, also to a waiting request', async () => {
       const engine = fleet.engines[0]
       if (engine === undefined) throw new Error('the fleet has no engine')
       engine.options.engine = { model: 'base', places: 3, loadMs: 700 }
@@ -159,7 +159,7 @@
       expect(await ask({ path: '/once/x', headers: withKey('red-key-one') })).to.include({ status: 200 })
     })
 
-    it('no key is in any line of the logs', () => {
+    it('writes no key to the logs', () => {
       const lines = [...fleet.entries, ...fleet.sides].flatMap(machine => machine.output).join('\n')
       expect(lines).to.not.match(/red-key|green-key/)
       expect(lines).to.include('"team":"red"')
