--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -2,7 +2,7 @@
  * `npm run bench -- capacity`: how state, messages, processor time and memory grow with each dimension.
  */
 import { Revision, check } from '@finchpitch/core'
-import { hashed, preferHashed } from '@finchpitch/decisions'
+import { hashCandidates, rankHashedCandidates } from '@finchpitch/decisions'
 import { Catalog, split, type Head } from '@finchpitch/store'
 import { encode } from '@finchpitch/wire'
 import { publish, rounded, type Row } from './report.js'
@@ -60,10 +60,10 @@
 
 /** Side processes of one base model: what finding an adapter's preferred ones costs. */
 const sidesRow = (count: number): Row => {
-  const candidates = hashed(Array.from({ length: count }, (_, index) => ({ process: `side-${index}`, domain: `zone-${index % 5}` })))
+  const candidates = hashCandidates(Array.from({ length: count }, (_, index) => ({ process: `side-${index}`, domain: `zone-${index % 5}` })))
   const rounds = Math.ceil(100_000 / count)
   const ms = timed(() => {
-    for (let round = 0; round < rounds; round++) preferHashed(`bench/a${round}`, candidates, 4)
+    for (let round = 0; round < rounds; round++) rankHashedCandidates(`bench/a${round}`, candidates, 4)
   })
   return { dimension: 'side processes of a model', size: count, 'preference µs': rounded(ms * 1000 / rounds) }
 }
--- a/packages/daemon/src/entry/dispatch.ts
+++ b/packages/daemon/src/entry/dispatch.ts
@@ -47,7 +47,7 @@
 
   /** Runs work that has no key. */
   async run (work: Work, repeatable: boolean, signal: AbortSignal): Promise<Tried> {
-    this.#budget.earn()
+    this.#budget.deposit()
     const tried = new Set<string>()
     let failure = notRun('no_backend', { retryAfterMs: storeRetryMs })
     for (let tries = 0; tries < mostTries; tries++) {
@@ -63,7 +63,7 @@
 
   /** Runs work with a key, at most once over all its tries. */
   async runOnce (work: Work, once: Once, signal: AbortSignal): Promise<Tried> {
-    this.#budget.earn()
+    this.#budget.deposit()
     return isTicket(once.key) ? await this.#runTicket(work, once, signal) : await this.#runClaimed(work, once, signal)
   }
 
@@ -80,7 +80,7 @@
   async #mayGoOn (failure: Failure, repeatable: boolean, tried: Set<string>, side: ChosenSide, signal: AbortSignal): Promise<boolean> {
     if (signal.aborted) return false
     const harmless = failure.outcome === 'not_run' ? elsewhere.has(failure.code) : repeatable
-    if (!harmless || !this.#budget.spend()) return false
+    if (!harmless || !this.#budget.withdraw()) return false
     if (failure.code === 'stale_revision') await this.options.catchUp()
     else tried.add(side.process)
     return true
--- a/packages/daemon/src/entry/side-peer.ts
+++ b/packages/daemon/src/entry/side-peer.ts
@@ -86,7 +86,7 @@
 
   get occupancy (): Occupancy {
     const load = this.#load
-    return { reported: load === undefined ? 0 : load.waiting + load.running, sentSince: this.#sentSince, capacity: load?.capacity ?? 1 }
+    return { reportedRequests: load === undefined ? 0 : load.waiting + load.running, sentSinceReport: this.#sentSince, capacity: load?.capacity ?? 1 }
   }
 
   /** Sends work and waits for the answer's head, or a failure; `not_sent` is this end's word, not the peer's. */
--- a/packages/daemon/src/entry/sides.ts
+++ b/packages/daemon/src/entry/sides.ts
@@ -5,7 +5,7 @@
  * left alone for a growing, spread time, so that a failure domain's return is not met by a storm.
  */
 import { backoff, servingName, type Address, type Log, type ProcessId, type Random, type Revision, type Serving } from '@finchpitch/core'
-import { hashed, preferHashed, route, type HashedCandidate, type Occupancy } from '@finchpitch/decisions'
+import { hashCandidates, rankHashedCandidates, selectBoundedLoad, type HashedCandidate, type Occupancy } from '@finchpitch/decisions'
 import { type Catalog, type Instance } from '@finchpitch/store'
 import type { ChannelOptions, Dial, FrameOf } from '@finchpitch/wire'
 import { LRUCache } from 'lru-cache'
@@ -32,7 +32,7 @@
 const preferenceLength = 4
 const cachedPreferences = 4096
 
-const emptyOccupancy: Occupancy = { reported: 0, sentSince: 0, capacity: 1 }
+const emptyOccupancy: Occupancy = { reportedRequests: 0, sentSinceReport: 0, capacity: 1 }
 
 export interface SideState {
   revision?: Revision
@@ -72,7 +72,7 @@
     const passed = new Set(tried)
     while (true) {
       const open = list.filter(({ process }) => !passed.has(process) && this.#mayTake(process))
-      const instance = open[route(open.map(each => this.#sides.get(each.process)?.peer?.occupancy ?? emptyOccupancy))]
+      const instance = open[selectBoundedLoad(open.map(each => this.#sides.get(each.process)?.peer?.occupancy ?? emptyOccupancy))]
       if (instance === undefined) return undefined
       const peer = await this.connect(instance.process)
       if (peer !== undefined && !peer.leaving) return { process: instance.process, address: instance.address, peer }
@@ -142,13 +142,13 @@
       const name = servingName(instance.serving)
       groups.set(name, [...groups.get(name) ?? [], instance])
     }
-    for (const [name, instances] of groups) this.#byServing.set(name, hashed(instances))
+    for (const [name, instances] of groups) this.#byServing.set(name, hashCandidates(instances))
   }
 
   #preferred (serving: Serving, key: string): Instance[] {
     const cached = this.#preferences.get(key)
     if (cached !== undefined) return cached
-    const list = preferHashed(key, this.#byServing.get(servingName(serving)) ?? [], preferenceLength)
+    const list = rankHashedCandidates(key, this.#byServing.get(servingName(serving)) ?? [], preferenceLength)
     this.#preferences.set(key, list)
     return list
   }
--- a/packages/daemon/src/entry/team-limits.ts
+++ b/packages/daemon/src/entry/team-limits.ts
@@ -2,7 +2,7 @@
  * Limits per team: a rate and a number of requests in progress, at one entry.
  */
 import { notRun, type Failure, type Team } from '@finchpitch/core'
-import { RateLimit } from '@finchpitch/decisions'
+import { TokenBucket } from '@finchpitch/decisions'
 import { err, ok, type Result } from 'neverthrow'
 
 /** How soon to ask again when too many are in progress. */
@@ -10,7 +10,7 @@
 
 interface TeamUse {
   rate: number
-  limit: RateLimit
+  limit: TokenBucket
   running: number
 }
 
@@ -37,7 +37,7 @@
   #use (team: Team): TeamUse {
     const known = this.#teams.get(team.name)
     if (known !== undefined && known.rate === team.limits.rate) return known
-    const fresh = { rate: team.limits.rate, limit: new RateLimit(team.limits.rate, Date.now()), running: known?.running ?? 0 }
+    const fresh = { rate: team.limits.rate, limit: new TokenBucket(team.limits.rate, Date.now()), running: known?.running ?? 0 }
     this.#teams.set(team.name, fresh)
     return fresh
   }
--- a/packages/daemon/src/side/gate.ts
+++ b/packages/daemon/src/side/gate.ts
@@ -4,7 +4,7 @@
  * Whatever can't be served within its caller's patience is refused at once, so that the caller can go elsewhere.
  */
 import { notRun, type Failure, type Work } from '@finchpitch/core'
-import { Estimate, Shares, before, type Waiting } from '@finchpitch/decisions'
+import { MovingAverage, TeamUsage, precedes, type QueuedRequest } from '@finchpitch/decisions'
 import { err, ok, type Result } from 'neverthrow'
 
 export interface GateOptions {
@@ -19,15 +19,15 @@
 
 export type Release = () => void
 
-interface Ticket extends Waiting {
+interface Ticket extends QueuedRequest {
   admit: () => void
 }
 
 export class Gate {
   #running = 0
   readonly #waiting: Ticket[] = []
-  readonly #shares = new Shares()
-  readonly #service = new Estimate(firstServiceMs)
+  readonly #shares = new TeamUsage()
+  readonly #service = new MovingAverage(firstServiceMs)
 
   constructor (private readonly options: GateOptions) {}
 
@@ -72,10 +72,10 @@
         signal.removeEventListener('abort', onAbort)
         resolve(true)
       }
-      const ticket: Ticket = { team: work.team, class: work.class, since, deadline, admit }
+      const ticket: Ticket = { team: work.team, class: work.class, enqueuedAt: since, deadline, admit }
       signal.addEventListener('abort', onAbort)
       this.#waiting.push(ticket)
-      this.#shares.join(work.team)
+      this.#shares.addTeam(work.team)
       this.#pump()
     })
     if (!admitted) return err(signal.aborted ? notRun('cancelled') : notRun('overloaded', { retryAfterMs: this.expectedWaitMs }))
@@ -103,11 +103,11 @@
   #pump (): void {
     while (this.#running < this.options.capacity && this.#waiting.length > 0) {
       const now = Date.now()
-      const next = this.#waiting.reduce((best, ticket) => before(ticket, best, this.#shares, now) ? ticket : best)
+      const next = this.#waiting.reduce((best, ticket) => precedes(ticket, best, this.#shares, now) ? ticket : best)
       this.#waiting.splice(this.#waiting.indexOf(next), 1)
       this.#running += 1
       this.#shares.charge(next.team, this.options.weightOf(next.team))
-      if (this.#waiting.length === 0) this.#shares.keep(new Set())
+      if (this.#waiting.length === 0) this.#shares.retainTeams(new Set())
       next.admit()
     }
   }
--- a/packages/daemon/src/side/slots.ts
+++ b/packages/daemon/src/side/slots.ts
@@ -6,7 +6,7 @@
  * adapter version wait and no other.
  */
 import { backoff, notRun, pause, type Failure, type Log, type Random, type WorkClass } from '@finchpitch/core'
-import { Estimate, Popularity, evict } from '@finchpitch/decisions'
+import { MovingAverage, Popularity, selectVictim } from '@finchpitch/decisions'
 import type { Engine } from '@finchpitch/backend'
 import { err, ok, type Result } from 'neverthrow'
 
@@ -59,7 +59,7 @@
   readonly #waiting = new Map<string, Waiter[]>()
   readonly #popularity = new Map<string, Popularity>()
   readonly #failed = new Map<string, Backoff>()
-  readonly #loadMs = new Estimate(firstLoadMs)
+  readonly #loadMs = new MovingAverage(firstLoadMs)
   readonly #leftovers: Set<string>
   #loading: string | undefined
   /** Something changed while a load was being decided on or made. */
@@ -190,7 +190,7 @@
     const now = Date.now()
     const residents = [...this.#slots].map(([label, { pins, loadMs }]) =>
       ({ label, pins, loadMs, popularity: this.#popularity.get(label)?.at(now) ?? 0 }))
-    const label = evict(residents)
+    const label = selectVictim(residents)
     if (label === undefined) return false
     // Gone from the table before the order is sent: no request can be given the slot while it empties.
     this.#slots.delete(label)
--- a/packages/daemon/src/uplink.ts
+++ b/packages/daemon/src/uplink.ts
@@ -6,7 +6,7 @@
  * may differ: then a few more watches are held, or a process hears of a change one step later.
  */
 import { backoff, pause, type Address, type FailureDomain, type Log, type ProcessId, type Random } from '@finchpitch/core'
-import { prefer } from '@finchpitch/decisions'
+import { rankCandidates } from '@finchpitch/decisions'
 import { type Catalog, type Instance } from '@finchpitch/store'
 import { Channel, type ChannelOptions, type Dial } from '@finchpitch/wire'
 import { CatalogExchange } from './catalog-exchange.js'
@@ -19,7 +19,7 @@
 export const watchersOf = (instances: readonly Instance[], domain: FailureDomain): Instance[] => {
   const entries = instances.filter(each => each.role === 'entry' && !each.leaving)
   const near = entries.filter(each => each.domain === domain)
-  return prefer(watcherKey, near.length > 0 ? near : entries, watchersPerDomain)
+  return rankCandidates(watcherKey, near.length > 0 ? near : entries, watchersPerDomain)
 }
 
 export interface UplinkOptions {
@@ -38,7 +38,7 @@
 /** One watcher that isn't this process, spread so that each serves its share. */
 const pick = async ({ process, domain, instances }: UplinkOptions, failures: number): Promise<Address | undefined> => {
   const others = watchersOf(await instances(), domain).filter(each => each.process !== process)
-  return prefer(process, others, others.length)[failures % Math.max(1, others.length)]?.address
+  return rankCandidates(process, others, others.length)[failures % Math.max(1, others.length)]?.address
 }
 
 /** Keeps one uplink until `signal` aborts. */
--- a/packages/decisions/src/limit-ledger.ts
+++ b/packages/decisions/src/advertised-limits.ts
@@ -9,7 +9,7 @@
  */
 
 /** The limit that one response stated. */
-export interface LimitWord {
+export interface AdvertisedLimit {
   /** One incarnation of a server; a restarted server counts as another one. */
   server: string
   /** Requests per second from all entry processes together; `Infinity` for no limit. */
@@ -25,9 +25,9 @@
 /** Covers the servers of a large deployment, and as many former incarnations. */
 const maxServers = 6000
 
-export class LimitLedger {
+export class AdvertisedLimits {
   /** In the order of their last statements, the least recent first. */
-  readonly #limits = new Map<string, LimitWord>()
+  readonly #limits = new Map<string, AdvertisedLimit>()
 
   get size (): number {
     return this.#limits.size
@@ -39,7 +39,7 @@
   }
 
   /** Records a statement. Returns true if that changed the limit in effect. */
-  note (limit: LimitWord): boolean {
+  note (limit: AdvertisedLimit): boolean {
     const known = this.#limits.get(limit.server)
     if (known === undefined) {
       if (limit.perSecond === Infinity) return false
@@ -56,12 +56,12 @@
   }
 
   /** The limits in effect. */
-  limits (): LimitWord[] {
+  limits (): AdvertisedLimit[] {
     return [...this.#limits.values()].filter(limit => limit.perSecond !== Infinity)
   }
 
   /** Removes a server that will not come back. */
-  forget (server: string): void {
+  remove (server: string): void {
     this.#limits.delete(server)
   }
 
@@ -69,7 +69,7 @@
     for (const [server, { heardAt }] of this.#limits) if (now - heardAt > retentionMs) this.#limits.delete(server)
   }
 
-  #store (limit: LimitWord): void {
+  #store (limit: AdvertisedLimit): void {
     this.#limits.delete(limit.server)
     this.#limits.set(limit.server, limit)
     for (const oldest of this.#limits.keys()) {
--- a/packages/decisions/src/route.ts
+++ b/packages/decisions/src/bounded-load.ts
@@ -9,9 +9,9 @@
 
 export interface Occupancy {
   /** Requests queued and running at the process, by its last report. */
-  reported: number
+  reportedRequests: number
   /** Requests sent from here since that report. */
-  sentSince: number
+  sentSinceReport: number
   /** Requests that the process runs at once. */
   capacity: number
 }
@@ -19,12 +19,12 @@
 /** A process below this multiple of the average utilization is selected by its position on the list. */
 const loadFactor = 1.25
 
-export const fullness = ({ reported, sentSince, capacity }: Occupancy): number => (reported + sentSince) / capacity
+export const utilizationOf = ({ reportedRequests: reported, sentSinceReport: sentSince, capacity }: Occupancy): number => (reported + sentSince) / capacity
 
 /** The index in `list` of the process to send to; -1 for an empty list. */
-export const route = (list: readonly Occupancy[]): number => {
+export const selectBoundedLoad = (list: readonly Occupancy[]): number => {
   if (list.length === 0) return -1
-  const utilizations = list.map(fullness)
+  const utilizations = list.map(utilizationOf)
   const average = utilizations.reduce((sum, utilization) => sum + utilization, 0) / utilizations.length
   const bound = Math.max(1, loadFactor * average)
   const first = utilizations.findIndex(utilization => utilization < bound)
--- a/packages/decisions/src/crash-ledger.ts
+++ b/packages/decisions/src/crash-history.ts
@@ -23,7 +23,7 @@
 }
 
 /** A run of a request that completed. */
-export interface SoundRun {
+export interface CompletedRun {
   fingerprint: RequestFingerprint
   endedAt: number
 }
@@ -35,13 +35,13 @@
   at: number
 }
 
-export interface CrashLimits {
+export interface QuarantineLimits {
   /** Consecutive crashes that quarantine a request for a short time. */
-  ends: number
+  shortThreshold: number
   /** Length of the short quarantine, counted from the last crash. */
-  holdMs: number
+  shortQuarantineMs: number
   /** Consecutive crashes that quarantine a request until the first of them expires. */
-  sureEnds: number
+  longThreshold: number
   /** How long a crash counts. */
   keepMs: number
   /** Another probe is allowed when the last one has had no outcome for this long. */
@@ -58,11 +58,11 @@
  * two, 10 after three, and 2 with these limits. With an unrelated crash every 3 s on top, it loses 773, 737, 5, 5 and 7 (means of
  * ten seeds).
  */
-export const crashLimits: CrashLimits = {
-  ends: 2,
+export const quarantineLimits: QuarantineLimits = {
+  shortThreshold: 2,
   /** Short, as an identical request from many callers may be quarantined by coincidence. Its next run then clears it. */
-  holdMs: 5000,
-  sureEnds: 3,
+  shortQuarantineMs: 5000,
+  longThreshold: 3,
   /** Long, as a request that crashes servers has to be fixed by people, and each time this expires, three more servers crash. */
   keepMs: 600_000,
   /** Covers the longest timeout of a caller and the time until a crash is known to have occurred. */
@@ -73,7 +73,7 @@
 }
 
 /** Why a request must not be sent. */
-export interface QuarantineCase {
+export interface Quarantine {
   /** The servers that crashed under it, in order. */
   servers: string[]
   leftMs: number
@@ -99,19 +99,19 @@
 
 const emptyRecord = (): RequestRecord => ({ crashes: new Map(), completedAt: -Infinity, pendingProbes: [], probeOnlyUntil: -Infinity })
 
-export class CrashLedger {
+export class CrashHistory {
   /** In the order of their last updates, the least recent first. */
   readonly #records = new Map<RequestFingerprint, RequestRecord>()
   #expiredAt = -Infinity
 
-  constructor (private readonly limits: CrashLimits) {}
+  constructor (private readonly limits: QuarantineLimits) {}
 
   get size (): number {
     return this.#records.size
   }
 
   /** Records a crash. Returns false if it was known, has expired, or came before a completed run. */
-  crashed (crash: Crash, now: number): boolean {
+  recordCrash (crash: Crash, now: number): boolean {
     const { fingerprint, server, endedAt } = crash
     if (now - endedAt >= this.limits.keepMs) return false
     const record = this.#records.get(fingerprint) ?? emptyRecord()
@@ -124,7 +124,7 @@
   }
 
   /** Records that a probe was started. Returns false if it was known, has expired, or came before a completed run. */
-  probed ({ fingerprint, at }: Probe, now: number): boolean {
+  recordProbe ({ fingerprint, at }: Probe, now: number): boolean {
     const record = this.#records.get(fingerprint) ?? emptyRecord()
     if (at <= record.completedAt || now - at >= this.limits.keepMs) return false
     // Times cross between processes as ages, so the same probe appears at a slightly different time on each path.
@@ -135,7 +135,7 @@
   }
 
   /** Records a completed run. Returns true if that discarded a crash or a probe; always false for a request without a record. */
-  sound ({ fingerprint, endedAt }: SoundRun): boolean {
+  sound ({ fingerprint, endedAt }: CompletedRun): boolean {
     const record = this.#records.get(fingerprint)
     if (record === undefined || endedAt <= record.completedAt) return false
     const discarded = [...record.crashes.values()].filter(crash => crash.endedAt <= endedAt)
@@ -148,7 +148,7 @@
   }
 
   /** `undefined` if the request isn't quarantined. */
-  quarantine (fingerprint: RequestFingerprint, now: number): QuarantineCase | undefined {
+  quarantine (fingerprint: RequestFingerprint, now: number): Quarantine | undefined {
     const record = this.#records.get(fingerprint)
     if (record === undefined) return undefined
     const consecutive = consecutiveCrashes(this.#unexpired(record, now))
@@ -207,7 +207,7 @@
 
   /** Until when consecutive crashes quarantine the request. */
   #crashHoldUntil (consecutive: readonly Crash[]): number {
-    const { ends, holdMs, sureEnds, keepMs } = this.limits
+    const { shortThreshold: ends, shortQuarantineMs: holdMs, longThreshold: sureEnds, keepMs } = this.limits
     const last = consecutive.at(-1)
     if (last === undefined || consecutive.length < ends) return -Infinity
     // Once this crash has expired, too few are left for the long quarantine.
--- a/packages/decisions/src/slot-choice.ts
+++ b/packages/decisions/src/eviction.ts
@@ -5,13 +5,13 @@
  */
 import { DecayingSum } from './decaying-sum.js'
 
-export const halfLifeMs = 10 * 60 * 1000
+export const popularityHalfLifeMs = 10 * 60 * 1000
 
 export class Popularity {
   readonly #uses: DecayingSum
 
   /** `halfLife`: milliseconds after which a use counts half. */
-  constructor (halfLife = halfLifeMs) {
+  constructor (halfLife = popularityHalfLifeMs) {
     this.#uses = new DecayingSum(halfLife)
   }
 
@@ -26,7 +26,7 @@
   }
 }
 
-export interface Resident {
+export interface EvictionCandidate {
   label: string
   /** Requests that use the adapter now. */
   pins: number
@@ -36,9 +36,9 @@
 }
 
 /** The label of the adapter to evict; `undefined` while all are in use. */
-export const evict = (residents: readonly Resident[]): string | undefined => {
-  const reloadCost = (resident: Resident): number => resident.popularity * resident.loadMs
+export const selectVictim = (residents: readonly EvictionCandidate[]): string | undefined => {
+  const reloadCost = (resident: EvictionCandidate): number => resident.popularity * resident.loadMs
   const idle = residents.filter(resident => resident.pins === 0)
-  return idle.reduce<Resident | undefined>((cheapest, resident) =>
+  return idle.reduce<EvictionCandidate | undefined>((cheapest, resident) =>
     cheapest === undefined || reloadCost(resident) < reloadCost(cheapest) ? resident : cheapest, undefined)?.label
 }
--- a/packages/decisions/src/token-stock.ts
+++ b/packages/decisions/src/expiring-tokens.ts
@@ -15,9 +15,9 @@
 }
 
 /** Never negative: a slice may be earned between the caller's reading of the clock and this call. */
-export const ageOf = ({ earnedAt }: TokenSlice, now: number): number => Math.max(0, now - earnedAt)
+export const sliceAgeMs = ({ earnedAt }: TokenSlice, now: number): number => Math.max(0, now - earnedAt)
 
-export const tokensIn = (slices: readonly TokenSlice[]): number => slices.reduce((sum, slice) => sum + slice.tokens, 0)
+export const totalTokens = (slices: readonly TokenSlice[]): number => slices.reduce((sum, slice) => sum + slice.tokens, 0)
 
 /**
  * Tokens that were earned within the same interval of this length form one slice, dated at the start of the interval. That bounds
@@ -26,7 +26,7 @@
  */
 const sliceMs = 100
 
-export class TokenStock {
+export class ExpiringTokens {
   /** The oldest first. */
   #slices: TokenSlice[] = []
 
@@ -47,7 +47,7 @@
   /** The number of tokens that were earned at `since` or later; older ones are dropped. */
   total (since: number): number {
     this.#dropExpired(since)
-    return tokensIn(this.#slices)
+    return totalTokens(this.#slices)
   }
 
   /** Takes exactly `tokens`, the oldest first; takes none and returns `undefined` if there are fewer. */
@@ -105,11 +105,11 @@
   (perSecond * windowMs / 1000 + burst) * (1 + overage) + slack
 
 /** How long a token may be spent after it was earned, so that no window exceeds the bound. */
-export const tokenLifeMs = (rate: QuotaRate, bound: QuotaBound): number => {
+export const tokenLifetimeMs = (rate: QuotaRate, bound: QuotaBound): number => {
   const spareMs = maxInWindow(rate, bound) / rate.perSecond * 1000 - bound.windowMs
   return Math.max(minLifetimeMs, Math.min(maxLifetimeMs, spareMs * lifetimeShare))
 }
 
 /** Tokens earned per second: the rate of the quota, or less where the bound doesn't leave even the shortest lifetime. */
 export const earnedPerSecond = (rate: QuotaRate, bound: QuotaBound): number =>
-  Math.min(rate.perSecond, maxInWindow(rate, bound) / (bound.windowMs + tokenLifeMs(rate, bound)) * 1000)
+  Math.min(rate.perSecond, maxInWindow(rate, bound) / (bound.windowMs + tokenLifetimeMs(rate, bound)) * 1000)
--- a/packages/decisions/src/estimate.ts
+++ b/packages/decisions/src/moving-average.ts
@@ -5,7 +5,7 @@
 /** Weight of the latest sample. */
 const smoothing = 0.2
 
-export class Estimate {
+export class MovingAverage {
   #value: number
 
   constructor (initial: number) {
--- a/packages/decisions/src/outlier.ts
+++ b/packages/decisions/src/outlier-detector.ts
@@ -21,7 +21,7 @@
 /** Weight of the latest result in the moving average of failures. */
 const smoothing = 0.12
 
-export class Outlier {
+export class OutlierDetector {
   #consecutiveFailures = 0
   #failureRatio = 0
   #requests = 0
@@ -30,7 +30,7 @@
 
   constructor (private readonly limits: OutlierLimits) {}
 
-  get until (): number {
+  get ejectedUntil (): number {
     return this.#ejectedUntil
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** Counts a success. Probation ends, and ejections start short again, once the failure ratio is below half of its limit. */
-  succeeded (): void {
+  recordSuccess (): void {
     this.#consecutiveFailures = 0
     this.#requests += 1
     this.#failureRatio -= this.#failureRatio * smoothing
@@ -47,7 +47,7 @@
   }
 
   /** Counts a failure. Returns true if it ejected the server. */
-  failed (now: number): boolean {
+  recordFailure (now: number): boolean {
     this.#consecutiveFailures += 1
     this.#requests += 1
     this.#failureRatio += (1 - this.#failureRatio) * smoothing
--- a/packages/decisions/src/preference.ts
+++ b/packages/decisions/src/rendezvous.ts
@@ -20,7 +20,7 @@
   hash: number
 }
 
-export const hashed = <C extends Candidate>(candidates: readonly C[]): Array<HashedCandidate<C>> =>
+export const hashCandidates = <C extends Candidate>(candidates: readonly C[]): Array<HashedCandidate<C>> =>
   candidates.map(candidate => ({ candidate, hash: murmurhash.v3(candidate.process) }))
 
 /** The finalizer of MurmurHash3, by Austin Appleby: every bit of the input affects every bit of the output. */
@@ -32,7 +32,7 @@
 }
 
 /** The rendezvous score of a candidate for a key, at least 0 and below 1, from the hashes of both. */
-export const affinityOf = (keyHash: number, candidateHash: number): number => mix(keyHash ^ candidateHash) / 2 ** 32
+export const rendezvousScore = (keyHash: number, candidateHash: number): number => mix(keyHash ^ candidateHash) / 2 ** 32
 
 export const hashOf = (name: string): number => murmurhash.v3(name)
 
@@ -54,7 +54,7 @@
 const noDomains: ReadonlySet<string> = new Set()
 
 /** The first `length` candidates for `key`, spread over failure domains. */
-export const preferHashed = <C extends Candidate>(key: string, candidates: ReadonlyArray<HashedCandidate<C>>, length: number): C[] => {
+export const rankHashedCandidates = <C extends Candidate>(key: string, candidates: ReadonlyArray<HashedCandidate<C>>, length: number): C[] => {
   const keyHash = murmurhash.v3(key)
   const chosen = new Set<C>()
   const usedDomains = new Set<string>()
@@ -68,5 +68,5 @@
 }
 
 /** The same for candidates that aren't hashed yet. */
-export const prefer = <C extends Candidate>(key: string, candidates: readonly C[], length: number): C[] =>
-  preferHashed(key, hashed(candidates), length)
+export const rankCandidates = <C extends Candidate>(key: string, candidates: readonly C[], length: number): C[] =>
+  rankHashedCandidates(key, hashCandidates(candidates), length)
--- a/packages/decisions/src/retry-window.ts
+++ b/packages/decisions/src/retry-window.ts
@@ -3,7 +3,7 @@
  * that allows single retries when there is little traffic.
  */
 
-export interface RetryShare {
+export interface RetryLimits {
   /** Retries allowed for each first try. */
   ratio: number
   /** Retries allowed per window whatever the traffic. */
@@ -24,12 +24,12 @@
   #buckets: Bucket[] = []
 
   /** Counts a first try. */
-  first (now: number, windowMs: number): void {
+  recordFirstAttempt (now: number, windowMs: number): void {
     this.#currentBucket(now, windowMs).firstTries += 1
   }
 
   /** Counts a retry if the budget allows one; returns false if it doesn't. */
-  repeat (now: number, { ratio, slack, windowMs }: RetryShare): boolean {
+  tryRetry (now: number, { ratio, slack, windowMs }: RetryLimits): boolean {
     const bucket = this.#currentBucket(now, windowMs)
     const firstTries = this.#buckets.reduce((sum, each) => sum + each.firstTries, 0)
     const retries = this.#buckets.reduce((sum, each) => sum + each.retries, 0)
--- a/packages/decisions/src/rest.ts
+++ b/packages/decisions/src/server-backoff.ts
@@ -7,26 +7,26 @@
  */
 
 /** Longer backoffs are cut to this; then one request finds out whether the server still wants none. */
-export const longestRestMs = 600_000
+export const maxBackoffMs = 600_000
 
 /** After the first answer, the concurrency limit ramps up from one request to all slots over this time. */
 const rampMs = 1000
 
-export class Rest {
+export class ServerBackoff {
   #activeUntil = -Infinity
   /** When the first request after the backoff was answered; `undefined` until then. */
   #answeredAt: number | undefined = -Infinity
 
   /** Backs off for `ms` from `now`; never ends an earlier backoff sooner. Returns true if none was in effect. */
   ask (ms: number, now: number): boolean {
-    const started = !this.resting(now)
-    this.#activeUntil = Math.max(this.#activeUntil, now + Math.min(ms, longestRestMs))
+    const started = !this.active(now)
+    this.#activeUntil = Math.max(this.#activeUntil, now + Math.min(ms, maxBackoffMs))
     this.#answeredAt = undefined
     return started
   }
 
   /** Whether the backoff is in effect, so that no request may be sent. */
-  resting (now: number): boolean {
+  active (now: number): boolean {
     return now < this.#activeUntil
   }
 
@@ -35,19 +35,19 @@
   }
 
   /** Records an answer that requested no backoff. */
-  answered (now: number): void {
-    if (!this.resting(now)) this.#answeredAt ??= now
+  recordAnswer (now: number): void {
+    if (!this.active(now)) this.#answeredAt ??= now
   }
 
   /** Whether the ramp-up is complete, so that the server has no limit any more. */
-  over (now: number): boolean {
-    return !this.resting(now) && this.#answeredAt !== undefined && now - this.#answeredAt >= rampMs
+  rampedUp (now: number): boolean {
+    return !this.active(now) && this.#answeredAt !== undefined && now - this.#answeredAt >= rampMs
   }
 
   /** The number of requests that the server may have in progress; `slots` is how many it processes at once. */
-  room (slots: number, now: number): number {
-    if (this.resting(now)) return 0
-    if (this.over(now)) return Infinity
+  concurrencyLimit (slots: number, now: number): number {
+    if (this.active(now)) return 0
+    if (this.rampedUp(now)) return Infinity
     const rampedMs = this.#answeredAt === undefined ? 0 : now - this.#answeredAt
     return 1 + Math.floor(slots * rampedMs / rampMs)
   }
--- a/packages/decisions/src/limit.ts
+++ b/packages/decisions/src/token-bucket.ts
@@ -3,7 +3,7 @@
  */
 
 /** A token bucket that refills at `rate` tokens per second and holds one second's worth of them. */
-export class RateLimit {
+export class TokenBucket {
   #tokens: number
   #refilledAt: number
 
@@ -33,12 +33,12 @@
   #tokens = maxTokens
 
   /** Counts a first try. */
-  earn (): void {
+  deposit (): void {
     this.#tokens = Math.min(maxTokens, this.#tokens + tokensPerRequest)
   }
 
   /** Takes the token for one retry; returns false if none is left. */
-  spend (): boolean {
+  withdraw (): boolean {
     if (this.#tokens < 1) return false
     this.#tokens -= 1
     return true
--- a/packages/decisions/test/limit-ledger.test.ts
+++ b/packages/decisions/test/advertised-limits.test.ts
@@ -1,12 +1,12 @@
-import { LimitLedger } from '@finchpitch/decisions'
+import { AdvertisedLimits } from '@finchpitch/decisions'
 import { expect } from 'chai'
 
 const server = 'engine-1'
-const limit = (perSecond: number, sentAt: number, heardAt: number): Parameters<LimitLedger['note']>[0] => ({ server, perSecond, sentAt, heardAt })
+const limit = (perSecond: number, sentAt: number, heardAt: number): Parameters<AdvertisedLimits['note']>[0] => ({ server, perSecond, sentAt, heardAt })
 
 describe('limits stated by servers', () => {
-  let ledger: LimitLedger
-  beforeEach(() => { ledger = new LimitLedger() })
+  let ledger: AdvertisedLimits
+  beforeEach(() => { ledger = new AdvertisedLimits() })
 
   it('are empty at first, and keep no record of a server that states none', () => {
     expect(ledger.note(limit(Infinity, 0, 5))).to.equal(false)
--- a/packages/decisions/test/crash-ledger.test.ts
+++ b/packages/decisions/test/crash-history.test.ts
@@ -1,58 +1,58 @@
 import { RequestFingerprint } from '@finchpitch/core'
-import { CrashLedger, type Crash, type CrashLimits } from '@finchpitch/decisions'
+import { CrashHistory, type Crash, type QuarantineLimits } from '@finchpitch/decisions'
 import { expect } from 'chai'
 import fc from 'fast-check'
 
-const limits: CrashLimits = { ends: 2, holdMs: 500, sureEnds: 3, keepMs: 1000, probeMs: 200, probes: 2, most: 4 }
+const limits: QuarantineLimits = { shortThreshold: 2, shortQuarantineMs: 500, longThreshold: 3, keepMs: 1000, probeMs: 200, probes: 2, most: 4 }
 const fingerprint = (name: string): RequestFingerprint => RequestFingerprint.parse(name.padEnd(16, '_'))
 const bad = fingerprint('bad')
 const crash = (server: string, sentAt: number, endedAt: number, of = bad): Crash => ({ fingerprint: of, server, sentAt, endedAt })
 
 describe('crash records of requests', () => {
-  let ledger: CrashLedger
+  let ledger: CrashHistory
 
-  beforeEach(() => { ledger = new CrashLedger(limits) })
+  beforeEach(() => { ledger = new CrashHistory(limits) })
 
   describe('a quarantine', () => {
     it('starts at the second consecutive crash and names the servers', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('a', 0, 10), 10)
       expect(ledger.quarantine(bad, 10)).to.equal(undefined)
-      ledger.crashed(crash('b', 20, 30), 30)
+      ledger.recordCrash(crash('b', 20, 30), 30)
       expect(ledger.quarantine(bad, 30)).to.deep.equal({ servers: ['a', 'b'], leftMs: 500 })
     })
 
     it('does not start when several servers crash at the same time', () => {
-      ledger.crashed(crash('a', 0, 10), 11)
-      ledger.crashed(crash('b', 5, 10), 11)
-      ledger.crashed(crash('c', 9, 11), 11)
+      ledger.recordCrash(crash('a', 0, 10), 11)
+      ledger.recordCrash(crash('b', 5, 10), 11)
+      ledger.recordCrash(crash('c', 9, 11), 11)
       expect(ledger.quarantine(bad, 11)).to.equal(undefined)
     })
 
     it('does not start when the same server is reported twice', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
-      expect(ledger.crashed(crash('a', 20, 30), 30)).to.equal(false)
+      ledger.recordCrash(crash('a', 0, 10), 10)
+      expect(ledger.recordCrash(crash('a', 20, 30), 30)).to.equal(false)
       expect(ledger.quarantine(bad, 30)).to.equal(undefined)
     })
 
     it('does not affect other requests', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
-      ledger.crashed(crash('b', 20, 30), 30)
+      ledger.recordCrash(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('b', 20, 30), 30)
       expect(ledger.quarantine(fingerprint('other'), 30)).to.equal(undefined)
     })
 
     it('expires after a short time, as an unrelated fault may have crashed two servers in a row', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
-      ledger.crashed(crash('b', 20, 30), 30)
+      ledger.recordCrash(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('b', 20, 30), 30)
       expect(ledger.quarantine(bad, 529)).to.not.equal(undefined)
       expect(ledger.quarantine(bad, 530)).to.equal(undefined)
     })
 
     it('lasts until the crashes expire once there is a third one', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
-      ledger.crashed(crash('b', 20, 30), 30)
-      ledger.crashed(crash('c', 540, 550), 550)
+      ledger.recordCrash(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('b', 20, 30), 30)
+      ledger.recordCrash(crash('c', 540, 550), 550)
       expect(ledger.quarantine(bad, 550)).to.deep.equal({ servers: ['a', 'b', 'c'], leftMs: 500 })
-      ledger.crashed(crash('d', 560, 570), 570)
+      ledger.recordCrash(crash('d', 560, 570), 570)
       expect(ledger.quarantine(bad, 1069)).to.not.equal(undefined)
       expect(ledger.quarantine(bad, 1070)).to.equal(undefined)
     })
@@ -60,24 +60,24 @@
 
   describe('a completed run', () => {
     it('discards the crashes before it, including those reported later', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('a', 0, 10), 10)
       expect(ledger.sound({ fingerprint: bad, endedAt: 40 })).to.equal(true)
-      expect(ledger.crashed(crash('b', 20, 30), 50)).to.equal(false)
+      expect(ledger.recordCrash(crash('b', 20, 30), 50)).to.equal(false)
       expect(ledger.quarantine(bad, 50)).to.equal(undefined)
     })
 
     it('releases a quarantined request', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
-      ledger.crashed(crash('b', 20, 30), 30)
+      ledger.recordCrash(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('b', 20, 30), 30)
       ledger.sound({ fingerprint: bad, endedAt: 31 })
       expect(ledger.quarantine(bad, 31)).to.equal(undefined)
     })
 
     it('does not discard later crashes', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('a', 0, 10), 10)
       ledger.sound({ fingerprint: bad, endedAt: 15 })
-      ledger.crashed(crash('b', 20, 30), 30)
-      ledger.crashed(crash('c', 40, 50), 50)
+      ledger.recordCrash(crash('b', 20, 30), 30)
+      ledger.recordCrash(crash('c', 40, 50), 50)
       expect(ledger.quarantine(bad, 50)?.servers).to.deep.equal(['b', 'c'])
     })
 
@@ -89,25 +89,25 @@
 
   describe('the table', () => {
     it('is bounded, and evicts quarantined requests last', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
-      ledger.crashed(crash('b', 20, 30), 30)
-      for (let each = 0; each < 20; each++) ledger.crashed(crash('c', 40, 50, fingerprint(`p${each}`)), 50)
+      ledger.recordCrash(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('b', 20, 30), 30)
+      for (let each = 0; each < 20; each++) ledger.recordCrash(crash('c', 40, 50, fingerprint(`p${each}`)), 50)
       expect(ledger.size).to.be.at.most(limits.most)
       expect(ledger.quarantine(bad, 50)).to.not.equal(undefined)
     })
 
     it('drops expired records when nothing else is recorded', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('a', 0, 10), 10)
       ledger.sound({ fingerprint: bad, endedAt: 40 })
       ledger.expire(1100)
       expect(ledger.size).to.equal(0)
     })
 
     it('drops a request when its last crash expires', () => {
-      ledger.crashed(crash('a', 0, 10), 10)
-      ledger.crashed(crash('b', 2000, 2010, fingerprint('other')), 2010)
+      ledger.recordCrash(crash('a', 0, 10), 10)
+      ledger.recordCrash(crash('b', 2000, 2010, fingerprint('other')), 2010)
       expect(ledger.size).to.equal(1)
-      expect(ledger.crashed(crash('a', 0, 10), 2010)).to.equal(false)
+      expect(ledger.recordCrash(crash('a', 0, 10), 2010)).to.equal(false)
     })
   })
 
@@ -115,16 +115,16 @@
     const report = fc.record({ server: fc.constantFrom('a', 'b', 'c', 'd'), sentAt: fc.integer({ min: 0, max: 400 }), ranMs: fc.integer({ min: 1, max: 100 }) })
     fc.assert(fc.property(fc.uniqueArray(report, { selector: each => each.server, maxLength: 4 }), fc.option(fc.integer({ min: 0, max: 500 })), fc.infiniteStream(fc.nat()), (reports, completedAt, draws) => {
       const crashes = reports.map(({ server, sentAt, ranMs }) => crash(server, sentAt, sentAt + ranMs))
-      const apply = (target: CrashLedger, order: readonly Crash[]): unknown => {
+      const apply = (target: CrashHistory, order: readonly Crash[]): unknown => {
         order.forEach((each, index) => {
-          target.crashed(each, 600)
+          target.recordCrash(each, 600)
           if (index === 0 && completedAt !== null) target.sound({ fingerprint: bad, endedAt: completedAt })
         })
         if (completedAt !== null) target.sound({ fingerprint: bad, endedAt: completedAt })
         return target.quarantine(bad, 600)
       }
       const shuffled = [...crashes, ...crashes].map(each => ({ each, draw: draws.next().value as number })).sort((a, b) => a.draw - b.draw).map(({ each }) => each)
-      expect(apply(new CrashLedger(limits), shuffled)).to.deep.equal(apply(ledger = new CrashLedger(limits), crashes))
+      expect(apply(new CrashHistory(limits), shuffled)).to.deep.equal(apply(ledger = new CrashHistory(limits), crashes))
     }))
   })
 })
--- a/packages/decisions/test/token-stock.test.ts
+++ b/packages/decisions/test/expiring-tokens.test.ts
@@ -1,16 +1,16 @@
-import { TokenStock, earnedPerSecond, tokenLifeMs } from '@finchpitch/decisions'
+import { ExpiringTokens, earnedPerSecond, tokenLifetimeMs } from '@finchpitch/decisions'
 import { expect } from 'chai'
 
 describe('quota tokens by age', () => {
   it('are taken oldest first', () => {
-    const stock = new TokenStock()
+    const stock = new ExpiringTokens()
     stock.addAll([{ tokens: 10, earnedAt: 300 }, { tokens: 10, earnedAt: 100 }, { tokens: 10, earnedAt: 200 }])
     expect(stock.takeUpTo(15, 0)).to.deep.equal([{ tokens: 10, earnedAt: 100 }, { tokens: 5, earnedAt: 200 }])
     expect(stock.takeUpTo(99, 0)).to.deep.equal([{ tokens: 5, earnedAt: 200 }, { tokens: 10, earnedAt: 300 }])
   })
 
   it('are taken in full or not at all, without expired ones', () => {
-    const stock = new TokenStock()
+    const stock = new ExpiringTokens()
     stock.add(10, 100)
     stock.add(10, 200)
     expect(stock.take(21, 0)).to.equal(undefined)
@@ -19,7 +19,7 @@
   })
 
   it('never become younger, and form few slices when many are added out of order', () => {
-    const stock = new TokenStock()
+    const stock = new ExpiringTokens()
     let seed = 7
     const random = (): number => { seed = (seed * 48_271) % 2_147_483_647; return seed / 2_147_483_647 }
     for (let each = 0; each < 50_000; each++) stock.add(1, 1000 + random() * 3000)
@@ -33,13 +33,13 @@
   it('have a lifetime with which the rate times window and lifetime stays within the bound', () => {
     for (const perSecond of [29_000, 206_000]) {
       const bound = { windowMs: 8000, overage: 0.1, slack: 110_000 }
-      const life = tokenLifeMs({ perSecond, burst: perSecond }, bound)
+      const life = tokenLifetimeMs({ perSecond, burst: perSecond }, bound)
       expect(life).to.be.greaterThan(1000)
       expect(perSecond * (8000 + life) / 1000).to.be.lessThan((perSecond * 8 + perSecond) * 1.1 + 110_000)
     }
     const tight = { windowMs: 8000, overage: 0, slack: 0 }
     const rate = { perSecond: 100, burst: 0 }
-    expect(earnedPerSecond(rate, tight) * (8000 + tokenLifeMs(rate, tight)) / 1000).to.be.within(750, 800.001)
+    expect(earnedPerSecond(rate, tight) * (8000 + tokenLifetimeMs(rate, tight)) / 1000).to.be.within(750, 800.001)
     expect(earnedPerSecond({ perSecond: 100, burst: 100 }, tight)).to.equal(100)
   })
 })
--- a/packages/decisions/test/outlier.test.ts
+++ b/packages/decisions/test/outlier-detector.test.ts
@@ -1,34 +1,34 @@
-import { Outlier, RetryWindow } from '@finchpitch/decisions'
+import { OutlierDetector, RetryWindow } from '@finchpitch/decisions'
 import { expect } from 'chai'
 
 const limits = { inRow: 3, share: 0.4, least: 8, firstMs: 100, limitMs: 1000 }
 
 describe('outlier detection', () => {
   it('ejects a server after consecutive failures, for longer each time, and on probation after a single one', () => {
-    const outlier = new Outlier(limits)
-    expect([outlier.failed(0), outlier.failed(0), outlier.failed(0)]).to.deep.equal([false, false, true])
+    const outlier = new OutlierDetector(limits)
+    expect([outlier.recordFailure(0), outlier.recordFailure(0), outlier.recordFailure(0)]).to.deep.equal([false, false, true])
     expect(outlier.ejected(99)).to.equal(true)
     expect(outlier.ejected(100)).to.equal(false)
-    expect(outlier.failed(100)).to.equal(true)
+    expect(outlier.recordFailure(100)).to.equal(true)
     expect(outlier.ejected(299)).to.equal(true)
     expect(outlier.ejected(300)).to.equal(false)
   })
 
   it('ejects a server by its failure ratio when it never fails three times in a row', () => {
-    const outlier = new Outlier(limits)
+    const outlier = new OutlierDetector(limits)
     let ejected = false
     for (let each = 0; each < 40 && !ejected; each++) {
-      if (each % 3 === 0) outlier.succeeded()
-      else ejected = outlier.failed(0)
+      if (each % 3 === 0) outlier.recordSuccess()
+      else ejected = outlier.recordFailure(0)
     }
     expect(ejected).to.equal(true)
   })
 
   it('does not eject a server at the failure ratio of healthy servers', () => {
-    const outlier = new Outlier(limits)
+    const outlier = new OutlierDetector(limits)
     for (let each = 0; each < 400; each++) {
-      if (each % 7 === 0) expect(outlier.failed(0)).to.equal(false)
-      else outlier.succeeded()
+      if (each % 7 === 0) expect(outlier.recordFailure(0)).to.equal(false)
+      else outlier.recordSuccess()
     }
   })
 })
@@ -38,10 +38,10 @@
 
   it('allows the ratio of first tries plus the slack in any window', () => {
     const window = new RetryWindow()
-    for (let each = 0; each < 10; each++) window.first(0, share.windowMs)
-    const granted = Array.from({ length: 10 }, () => window.repeat(1, share)).filter(Boolean)
+    for (let each = 0; each < 10; each++) window.recordFirstAttempt(0, share.windowMs)
+    const granted = Array.from({ length: 10 }, () => window.tryRetry(1, share)).filter(Boolean)
     expect(granted).to.have.length(4)
-    expect(window.repeat(9000, share)).to.equal(false)
-    expect(window.repeat(11_000, share)).to.equal(true)
+    expect(window.tryRetry(9000, share)).to.equal(false)
+    expect(window.tryRetry(11_000, share)).to.equal(true)
   })
 })
--- a/packages/decisions/test/preference.test.ts
+++ b/packages/decisions/test/rendezvous.test.ts
@@ -1,4 +1,4 @@
-import { prefer } from '@finchpitch/decisions'
+import { rankCandidates } from '@finchpitch/decisions'
 import { expect } from 'chai'
 
 const sides = (count: number): Array<{ process: string, domain: string }> =>
@@ -6,12 +6,12 @@
 
 describe('rendezvous hashing', () => {
   it('gives the same list for candidates in any order', () => {
-    expect(prefer('a', sides(20), 4)).to.deep.equal(prefer('a', sides(20).reverse(), 4))
+    expect(rankCandidates('a', sides(20), 4)).to.deep.equal(rankCandidates('a', sides(20).reverse(), 4))
   })
 
   it('spreads the list over the failure domains', () => {
     for (let key = 0; key < 50; key++) {
-      const [first, second, third] = prefer(`k${key}`, sides(20), 4).map(each => each.domain)
+      const [first, second, third] = rankCandidates(`k${key}`, sides(20), 4).map(each => each.domain)
       expect(new Set([first, second, third]).size).to.equal(3)
     }
   })
@@ -20,8 +20,8 @@
     const removed = 'side-7'
     const remaining = sides(20).filter(each => each.process !== removed)
     for (let key = 0; key < 200; key++) {
-      const [before] = prefer(`k${key}`, sides(20), 1)
-      const [after] = prefer(`k${key}`, remaining, 1)
+      const [before] = rankCandidates(`k${key}`, sides(20), 1)
+      const [after] = rankCandidates(`k${key}`, remaining, 1)
       if (before?.process !== removed) expect(after).to.deep.equal(before)
     }
   })
@@ -29,14 +29,14 @@
   it('distributes the keys evenly over the candidates', () => {
     const keysByFirst = new Map<string, number>()
     for (let key = 0; key < 5000; key++) {
-      const name = prefer(`k${key}`, sides(10), 1)[0]?.process ?? ''
+      const name = rankCandidates(`k${key}`, sides(10), 1)[0]?.process ?? ''
       keysByFirst.set(name, (keysByFirst.get(name) ?? 0) + 1)
     }
     for (const count of keysByFirst.values()) expect(count).to.be.within(400, 600)
   })
 
   it('returns a shorter list when there are too few candidates', () => {
-    expect(prefer('a', sides(2), 4)).to.have.length(2)
-    expect(prefer('a', [], 4)).to.deep.equal([])
+    expect(rankCandidates('a', sides(2), 4)).to.have.length(2)
+    expect(rankCandidates('a', [], 4)).to.deep.equal([])
   })
 })
--- a/packages/decisions/test/replay/crash-replay.ts
+++ b/packages/decisions/test/replay/crash-replay.ts
@@ -7,17 +7,17 @@
  * ten retry up to three times. One request in ten is one of 20 that many callers send alike.
  */
 import { RequestFingerprint } from '@finchpitch/core'
-import { CrashLedger, type CrashLimits } from '@finchpitch/decisions'
+import { CrashHistory, type QuarantineLimits } from '@finchpitch/decisions'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 
 export interface CrashPattern {
   /** Milliseconds between sends of the request that crashes its engine; it is never sent if absent. */
-  fatalEveryMs?: number
+  fatalIntervalMs?: number
   /** Milliseconds between crashes of another cause; there are none if absent. */
-  endEveryMs?: number
+  crashIntervalMs?: number
   /** Engines that crash at the same time in each crash of another cause; 1 if absent. */
-  together?: number
+  simultaneousCrashes?: number
 }
 
 export interface CrashCounts {
@@ -26,7 +26,7 @@
   /** Of those, requests that were lost because they were quarantined. */
   refused: number
   /** Crashes of engines, of any cause. */
-  ends: number
+  crashes: number
 }
 
 const engineCount = 13
@@ -46,21 +46,21 @@
 interface Attempt { ask: Request, sentAt: number }
 
 export class CrashReplay {
-  readonly counts: CrashCounts = { lost: 0, refused: 0, ends: 0 }
-  readonly #ledger: CrashLedger
+  readonly counts: CrashCounts = { lost: 0, refused: 0, crashes: 0 }
+  readonly #ledger: CrashHistory
   readonly #random
   readonly #engines: Array<{ attempts: Set<Attempt>, availableAt: number, incarnation: number }>
   #events: Array<{ at: number, run: () => void }> = []
   #now = 0
 
-  constructor (limits: CrashLimits, private readonly pattern: CrashPattern, seed: number) {
-    this.#ledger = new CrashLedger(limits)
+  constructor (limits: QuarantineLimits, private readonly pattern: CrashPattern, seed: number) {
+    this.#ledger = new CrashHistory(limits)
     this.#random = xoroshiro128plus(seed)
     this.#engines = Array.from({ length: engineCount }, () => ({ attempts: new Set<Attempt>(), availableAt: 0, incarnation: 0 }))
   }
 
-  play (): CrashCounts {
-    const { fatalEveryMs, endEveryMs, together = 1 } = this.pattern
+  simulate (): CrashCounts {
+    const { fatalIntervalMs: fatalEveryMs, crashIntervalMs: endEveryMs, simultaneousCrashes: together = 1 } = this.pattern
     for (let at = 0, index = 0; at < durationMs; at += arrivalMs, index++) this.#schedule(at, () => this.#arrive(index))
     if (fatalEveryMs !== undefined) for (let at = 5000; at < durationMs; at += fatalEveryMs) this.#schedule(at, () => this.#send({ fingerprint: fingerprintOf('fatal'), retriesLeft: 1, fatal: true }))
     if (endEveryMs !== undefined) for (let at = 5000; at < durationMs; at += endEveryMs) this.#schedule(at, () => { for (let each = 0; each < together; each++) this.#crash(this.#pick(this.#available)) })
@@ -107,7 +107,7 @@
       if (!request.fatal) this.counts.refused += 1
       return this.#lose(request)
     }
-    if (this.#ledger.probeDue(request.fingerprint, this.#now)) this.#ledger.probed({ fingerprint: request.fingerprint, at: this.#now }, this.#now)
+    if (this.#ledger.probeDue(request.fingerprint, this.#now)) this.#ledger.recordProbe({ fingerprint: request.fingerprint, at: this.#now }, this.#now)
     const index = this.#pick(this.#available)
     const engine = this.#engines[index]
     const attempt = { ask: request, sentAt: this.#now }
@@ -128,11 +128,11 @@
   #crash (index: number): void {
     const engine = this.#engines[index]
     if (engine === undefined) return
-    this.counts.ends += 1
+    this.counts.crashes += 1
     engine.incarnation += 1
     engine.availableAt = this.#now + restartMs
     for (const { ask: request, sentAt } of engine.attempts) {
-      this.#ledger.crashed({ fingerprint: request.fingerprint, server: `${index} ${engine.incarnation}`, sentAt, endedAt: this.#now }, this.#now)
+      this.#ledger.recordCrash({ fingerprint: request.fingerprint, server: `${index} ${engine.incarnation}`, sentAt, endedAt: this.#now }, this.#now)
       if (request.retriesLeft === 0) this.#lose(request)
       else this.#schedule(this.#now + retryDelayMs, () => this.#send({ ...request, retriesLeft: request.retriesLeft - 1 }))
     }
--- a/packages/decisions/test/rest.test.ts
+++ b/packages/decisions/test/server-backoff.test.ts
@@ -1,23 +1,23 @@
-import { Rest, longestRestMs } from '@finchpitch/decisions'
+import { ServerBackoff, maxBackoffMs } from '@finchpitch/decisions'
 import { expect } from 'chai'
 
 const slots = 10
 
 describe('backoff requested by a server', () => {
-  let rest: Rest
+  let rest: ServerBackoff
 
-  beforeEach(() => { rest = new Rest() })
+  beforeEach(() => { rest = new ServerBackoff() })
 
   it('sets no limit before it is requested', () => {
-    expect(rest.room(slots, 0)).to.equal(Infinity)
-    expect(rest.over(0)).to.equal(true)
+    expect(rest.concurrencyLimit(slots, 0)).to.equal(Infinity)
+    expect(rest.rampedUp(0)).to.equal(true)
   })
 
   it('allows no request until it ends, then one', () => {
     expect(rest.ask(3000, 100)).to.equal(true)
-    expect(rest.room(slots, 3099)).to.equal(0)
+    expect(rest.concurrencyLimit(slots, 3099)).to.equal(0)
     expect(rest.leftMs(600)).to.equal(2500)
-    expect(rest.room(slots, 3100)).to.equal(1)
+    expect(rest.concurrencyLimit(slots, 3100)).to.equal(1)
   })
 
   it('is extended by a later one, never shortened, and starts once', () => {
@@ -30,22 +30,22 @@
 
   it('allows one request after its end until that is answered, then ramps up', () => {
     rest.ask(1000, 0)
-    rest.answered(500)
-    expect(rest.room(slots, 5000)).to.equal(1)
-    rest.answered(5000)
-    expect([5000, 5100, 5500, 5999, 6000].map(now => rest.room(slots, now))).to.deep.equal([1, 2, 6, 10, Infinity])
-    expect(rest.over(6000)).to.equal(true)
+    rest.recordAnswer(500)
+    expect(rest.concurrencyLimit(slots, 5000)).to.equal(1)
+    rest.recordAnswer(5000)
+    expect([5000, 5100, 5500, 5999, 6000].map(now => rest.concurrencyLimit(slots, now))).to.deep.equal([1, 2, 6, 10, Infinity])
+    expect(rest.rampedUp(6000)).to.equal(true)
   })
 
   it('starts again when the first request after it is rejected', () => {
     rest.ask(1000, 0)
     expect(rest.ask(1000, 1500)).to.equal(true)
-    expect(rest.room(slots, 2499)).to.equal(0)
-    expect(rest.room(slots, 2500)).to.equal(1)
+    expect(rest.concurrencyLimit(slots, 2499)).to.equal(0)
+    expect(rest.concurrencyLimit(slots, 2500)).to.equal(1)
   })
 
   it('has a maximum length', () => {
     rest.ask(Infinity, 0)
-    expect(rest.leftMs(0)).to.equal(longestRestMs)
+    expect(rest.leftMs(0)).to.equal(maxBackoffMs)
   })
 })
--- a/packages/fleet/src/try-news.ts
+++ b/packages/fleet/src/attempt-reports.ts
@@ -5,15 +5,15 @@
  * Times are sent as ages, so no clocks are compared. A message that is delayed makes its events seem later than they were. This can
  * only make two crashes appear to overlap that did not, so that they count as one.
  */
-import type { Crash, CrashLedger, LimitLedger, LimitWord, Probe, SoundRun } from '@finchpitch/decisions'
+import type { Crash, CrashHistory, AdvertisedLimits, AdvertisedLimit, Probe, CompletedRun } from '@finchpitch/decisions'
 import { mostCrashes, mostLimits, type Channel, type FrameOf } from '@finchpitch/wire'
 import { nowMs } from './clock.js'
 
 /** A batch of such results: the recent ones, or everything that a process knows. */
-export interface TryNews {
+export interface AttemptReports {
   crashes: readonly Crash[]
-  sound: readonly SoundRun[]
-  limits: readonly LimitWord[]
+  sound: readonly CompletedRun[]
+  limits: readonly AdvertisedLimit[]
   probes: readonly Probe[]
 }
 
@@ -22,19 +22,19 @@
  * limits, since the server is overloaded. That a request ran without a crash only matters for its next crash. These results come
  * in bursts: after all engines of a failure domain crash, some hundred retries produce one each.
  */
-export const gatherMsOf = ({ crashes, limits, probes }: TryNews, crashesMs: number): number => crashes.length + limits.length + probes.length > 0 ? crashesMs : soundRunsMs
+export const batchDelayMs = ({ crashes, limits, probes }: AttemptReports, crashesMs: number): number => crashes.length + limits.length + probes.length > 0 ? crashesMs : soundRunsMs
 const soundRunsMs = 400
 
-export const nothing: TryNews = { crashes: [], sound: [], limits: [], probes: [] }
+export const noReports: AttemptReports = { crashes: [], sound: [], limits: [], probes: [] }
 
 /** Merges several batches into one. */
-export const joined = (all: readonly TryNews[]): TryNews =>
+export const mergeReports = (all: readonly AttemptReports[]): AttemptReports =>
   ({ crashes: all.flatMap(({ crashes }) => crashes), sound: all.flatMap(({ sound }) => sound), limits: all.flatMap(({ limits }) => limits), probes: all.flatMap(({ probes }) => probes) })
 
-export const isEmpty = ({ crashes, sound, limits, probes }: TryNews): boolean => [crashes, sound, limits, probes].every(each => each.length === 0)
+export const hasNoReports = ({ crashes, sound, limits, probes }: AttemptReports): boolean => [crashes, sound, limits, probes].every(each => each.length === 0)
 
 /** Converts results to frames: as many as the size limits of a frame require. */
-export const framesOf = ({ crashes, sound, limits, probes }: TryNews): Array<FrameOf<'crashes'>> => {
+export const reportFrames = ({ crashes, sound, limits, probes }: AttemptReports): Array<FrameOf<'crashes'>> => {
   const now = nowMs()
   const agoMs = (at: number): number => Math.max(0, now - at)
   const parts = Math.ceil(Math.max(crashes.length / mostCrashes, sound.length / mostCrashes, probes.length / mostCrashes, limits.length / mostLimits))
@@ -51,30 +51,30 @@
 const sliceOf = <T>(all: readonly T[], part: number, most: number): readonly T[] => all.slice(part * most, (part + 1) * most)
 
 /** Sends all known crashes and probes to a newly connected peer, which may have restarted and lost its own. */
-export const greetWith = (ledger: CrashLedger, peer: Channel): void => {
-  for (const frame of framesOf({ ...nothing, crashes: ledger.crashes(nowMs()), probes: ledger.probes() })) peer.send(frame)
+export const sendKnownCrashes = (ledger: CrashHistory, peer: Channel): void => {
+  for (const frame of reportFrames({ ...noReports, crashes: ledger.crashes(nowMs()), probes: ledger.probes() })) peer.send(frame)
 }
 
 /** Sends all known limits to a newly connected peer. */
-export const greetWithLimits = (ledger: LimitLedger, peer: Channel): void => {
-  for (const frame of framesOf({ ...nothing, limits: ledger.limits() })) peer.send(frame)
+export const sendKnownLimits = (ledger: AdvertisedLimits, peer: Channel): void => {
+  for (const frame of reportFrames({ ...noReports, limits: ledger.limits() })) peer.send(frame)
 }
 
 /** Records crashes, crash-free runs and probes from a peer's frame. Returns those that were new. */
-export const takeCrashes = (ledger: CrashLedger, frame: FrameOf<'crashes'>): Omit<TryNews, 'limits'> => {
+export const recordCrashes = (ledger: CrashHistory, frame: FrameOf<'crashes'>): Omit<AttemptReports, 'limits'> => {
   const now = nowMs()
   const crashes = frame.crashes.map(([fingerprint, server, sentAgoMs, endedAgoMs]) => ({ fingerprint, server, sentAt: now - sentAgoMs, endedAt: now - endedAgoMs }))
   const sound = frame.sound.map(([fingerprint, agoMs]) => ({ fingerprint, endedAt: now - agoMs }))
   const probes = (frame.probes ?? []).map(([fingerprint, agoMs]) => ({ fingerprint, at: now - agoMs }))
   return {
-    probes: probes.filter(probe => ledger.probed(probe, now)),
-    crashes: crashes.filter(crash => ledger.crashed(crash, now)),
+    probes: probes.filter(probe => ledger.recordProbe(probe, now)),
+    crashes: crashes.filter(crash => ledger.recordCrash(crash, now)),
     sound: sound.filter(run => ledger.sound(run))
   }
 }
 
 /** The limits in a peer's frame, with times on this process's clock. */
-export const takeLimits = ({ limits = [] }: FrameOf<'crashes'>): LimitWord[] => {
+export const limitsFromFrame = ({ limits = [] }: FrameOf<'crashes'>): AdvertisedLimit[] => {
   const now = nowMs()
   return limits.map(([server, perSecond, sentAgoMs, heardAgoMs]) => ({ server, perSecond: perSecond ?? Infinity, sentAt: now - sentAgoMs, heardAt: now - heardAgoMs }))
 }
--- a/packages/fleet/src/clock.ts
+++ b/packages/fleet/src/clock.ts
@@ -54,10 +54,10 @@
  * Resolves once the data that has arrived on sockets so far has been read. Timers run before socket reads, so after the process
  * stalled, a timer may treat an answer as missing that has already arrived.
  */
-export const socketsRead = async (): Promise<void> => await setImmediate()
+export const afterSocketReads = async (): Promise<void> => await setImmediate()
 
 /** The boot-time clock: monotonic, and includes the time for which the machine was suspended. */
-export const elapsedMs = (): number => clock.now
+export const boottimeMs = (): number => clock.now
 
 /** How long the machine has been suspended since this process started. */
-export const sleptMs = (): number => clock.suspendedMs
+export const suspendedMs = (): number => clock.suspendedMs
--- a/packages/fleet/src/soon-timer.ts
+++ b/packages/fleet/src/coalescing-timer.ts
@@ -3,14 +3,14 @@
  */
 import { nowMs } from './clock.js'
 
-export class SoonTimer {
+export class CoalescingTimer {
   #timer: NodeJS.Timeout | undefined
   #dueAt = Infinity
 
   constructor (private readonly action: () => void) {}
 
   /** Runs the action within `ms`, or earlier if a pending request is due earlier. */
-  within (ms: number): void {
+  runWithin (ms: number): void {
     const dueAt = nowMs() + ms
     if (dueAt >= this.#dueAt) return
     this.stop()
--- a/packages/fleet/src/removals.ts
+++ b/packages/fleet/src/deferred-removals.ts
@@ -9,20 +9,20 @@
 import type { Fact } from './fact.js'
 
 /** A live server that reaches the store writes its entry again within this time after the store recovers; the platform guarantees this. */
-export const returnMs = 2000
+export const reregistrationMs = 2000
 /**
  * Shorter outages defer nothing: a watch whose connection broke is renewed in a fraction of this time, and entries expire only
  * after several missed heartbeats.
  */
 const minOutageMs = 1000
 
-export class Removals {
+export class DeferredRemovals {
   #until = -Infinity
   #timer: NodeJS.Timeout | undefined
   readonly #deferred = new Map<string, Fact>()
 
   /** Whether removals are currently deferred, so that not everything that was read has been applied. */
-  get holding (): boolean {
+  get active (): boolean {
     return nowMs() < this.#until
   }
 
@@ -30,12 +30,12 @@
   constructor (private readonly release: (facts: Fact[]) => void) {}
 
   /** Records that the store answers again after an outage that began at `since`. */
-  returned (since: number): void {
-    if (nowMs() - since >= minOutageMs) this.hold(returnMs)
+  storeRecovered (since: number): void {
+    if (nowMs() - since >= minOutageMs) this.defer(reregistrationMs)
   }
 
   /** Defers removals learned within the next `ms`; never shortens a deferral in progress. */
-  hold (ms: number): void {
+  defer (ms: number): void {
     const until = nowMs() + ms
     if (until <= this.#until) return
     this.#until = until
@@ -44,8 +44,8 @@
   }
 
   /** Returns the facts to apply now, and keeps removals back while they are deferred. */
-  sift (facts: readonly Fact[]): Fact[] {
-    if (!this.holding) return [...facts]
+  filter (facts: readonly Fact[]): Fact[] {
+    if (!this.active) return [...facts]
     for (const fact of facts) {
       if (fact.value === undefined) this.#deferred.set(fact.key, fact)
       else this.#deferred.delete(fact.key)
--- a/packages/fleet/src/leavers.ts
+++ b/packages/fleet/src/draining-servers.ts
@@ -6,10 +6,10 @@
  * another server at the same address.
  */
 import { nowMs } from './clock.js'
-import { isFormer, type BackendServer } from './server.js'
+import { isEarlierIncarnation, type BackendServer } from './server.js'
 
 /** One incarnation of a server: the time from one start to the next. */
-export type ServerLife = Pick<BackendServer, 'id' | 'bornAt'>
+export type ServerIncarnation = Pick<BackendServer, 'id' | 'bornAt'>
 
 /** This long after a server was last listed, no message about it is in transit any more, not even an older copy of its entry. */
 const retentionMs = 60_000
@@ -20,22 +20,22 @@
   seenAt: number
 }
 
-export class Leavers {
+export class DrainingServers {
   readonly #draining = new Map<string, DrainingServer>()
 
   /** Marks an incarnation as draining. Returns whether that is new. */
-  note (incarnation: ServerLife): boolean {
+  note (incarnation: ServerIncarnation): boolean {
     const known = this.#draining.get(incarnation.id)
-    if (known !== undefined && isFormer(incarnation.bornAt, known.bornAt)) return false
+    if (known !== undefined && isEarlierIncarnation(incarnation.bornAt, known.bornAt)) return false
     if (this.has(incarnation)) return false
     this.#draining.set(incarnation.id, { bornAt: incarnation.bornAt, seenAt: nowMs() })
     return true
   }
 
   /** Whether this incarnation or a later one of the server is draining. An unknown start time matches every incarnation. */
-  has ({ id, bornAt }: ServerLife): boolean {
+  has ({ id, bornAt }: ServerIncarnation): boolean {
     const known = this.#draining.get(id)
-    return known !== undefined && !isFormer(known.bornAt, bornAt)
+    return known !== undefined && !isEarlierIncarnation(known.bornAt, bornAt)
   }
 
   /** Drops servers that have not been `listed` for the retention time. */
--- a/packages/fleet/src/turn.ts
+++ b/packages/fleet/src/duty-switch.ts
@@ -7,7 +7,7 @@
 const maxPauseMs = 600_000
 
 /** Whether a duty is currently this process's own or left to other processes. The task that carries it out waits here meanwhile. */
-export class Turn {
+export class DutySwitch {
   #on = true
   #started = new AbortController()
 
@@ -15,7 +15,7 @@
     return this.#on
   }
 
-  set (on: boolean): void {
+  setActive (on: boolean): void {
     if (on === this.#on) return
     this.#on = on
     if (on) this.#started.abort()
@@ -23,7 +23,7 @@
   }
 
   /** Resolves once the duty is this process's own, or `signal` aborts. */
-  async begun (signal: AbortSignal): Promise<void> {
+  async whenActive (signal: AbortSignal): Promise<void> {
     while (!this.#on && !signal.aborted) await pause(maxPauseMs, AbortSignal.any([signal, this.#started.signal]))
   }
 }
--- a/packages/fleet/src/engine-mirror.ts
+++ b/packages/fleet/src/engine-mirror.ts
@@ -18,15 +18,15 @@
 const initialFields = { server: undefined, bornAt: undefined, leaving: false, reachable: false, lost: false, waiting: 0, running: 0, unread: 0, entries: 0, strangers: 0 }
 
 /** The loaded models and adapters by key, each with its version. */
-export type HeldKeys = ReadonlyMap<string, number>
+export type LoadedVersions = ReadonlyMap<string, number>
 
 export class EngineMirror {
   /** Time of the last update, on the monotonic clock. */
   at = -Infinity
   /** Everything the engine is known to have loaded: by its updates and by early notices. */
-  held: HeldKeys = new Map()
+  held: LoadedVersions = new Map()
   /** What the engine has loaded according to its updates alone. */
-  #reported: HeldKeys = new Map()
+  #reported: LoadedVersions = new Map()
   /** Early load notices that no update has confirmed yet. */
   readonly #notices = new Map<string, { version: number, at: number }>()
   /** Adapters that are being loaded. */
@@ -59,12 +59,12 @@
   changes = 0
 
   /** Whether any update has been received. */
-  get told (): boolean {
+  get hasUpdates (): boolean {
     return this.at > -Infinity
   }
 
   /** Applies an update. A full update resets the fields that it omits; an incremental one leaves them as they are. */
-  take (frame: HoldingFrame): void {
+  apply (frame: HoldingFrame): void {
     this.at = nowMs()
     const before = frame.whole === true ? initialFields : this
     const server = frame.server === undefined ? before.server : frame.server ?? undefined
@@ -72,7 +72,7 @@
     if (server !== this.server || bornAt !== this.bornAt) this.#reset()
     this.bornAt = bornAt
     this.#updateHeld(frame)
-    for (const [key, version] of frame.warm ?? []) this.warm.keep(key, version)
+    for (const [key, version] of frame.warm ?? []) this.warm.add(key, version)
     this.server = server
     this.leaving = frame.leaving ?? before.leaving
     this.reachable = frame.reachable ?? before.reachable
@@ -92,7 +92,7 @@
   }
 
   /** Handles an early notice, sent ahead of the next update, that the engine has loaded the adapter. */
-  arrived (key: string, version: number): void {
+  recordLoaded (key: string, version: number): void {
     this.#notices.set(key, { version, at: nowMs() })
     this.held = new Map(this.held).set(key, version)
     this.changes += 1
@@ -111,11 +111,11 @@
     this.held = held
   }
 
-  #applyDelta (before: Iterable<[string, number]>, came: Record<string, number> = {}, went: string[] = []): HeldKeys {
+  #applyDelta (before: Iterable<[string, number]>, came: Record<string, number> = {}, went: string[] = []): LoadedVersions {
     const reported = new Map(before)
     for (const key of went) {
       const version = reported.get(key)
-      if (version !== undefined) this.warm.keep(key, version)
+      if (version !== undefined) this.warm.add(key, version)
       reported.delete(key)
       this.#notices.delete(key)
     }
--- a/packages/fleet/src/entry/gate.ts
+++ b/packages/fleet/src/entry/admission.ts
@@ -6,9 +6,9 @@
  */
 import type { Route, RouteIndex } from '../table.js'
 import type { FleetTeam } from '../team.js'
-import type { Credential } from './identity.js'
+import type { Credential } from './credential.js'
 
-export interface Admitted {
+export interface Admission {
   type: 'admitted'
   route: Route
   /** The team that the request belongs to; `undefined` where the table has no teams, or on a public route without a known key. */
@@ -22,29 +22,29 @@
  * table may be too stale to tell whether the key was revoked. `table_not_confirmed`: the table may be too stale to tell whether the
  * route or key was added.
  */
-export type Denial = { type: 'denied', reason: FinalDenial | 'keys_not_confirmed' | 'table_not_confirmed', route: Route | undefined }
+export type Denial = { type: 'denied', reason: FinalDenialReason | 'keys_not_confirmed' | 'table_not_confirmed', route: Route | undefined }
 
 /** Retrying is useless. */
-export type FinalDenial = 'no_route' | 'key_not_known'
+export type FinalDenialReason = 'no_route' | 'key_not_known'
 
-const finalDenials: ReadonlySet<Denial['reason']> = new Set<FinalDenial>(['no_route', 'key_not_known'])
+const finalDenials: ReadonlySet<Denial['reason']> = new Set<FinalDenialReason>(['no_route', 'key_not_known'])
 
-export const isFinalDenial = (reason: Denial['reason']): reason is FinalDenial => finalDenials.has(reason)
+export const isFinalDenial = (reason: Denial['reason']): reason is FinalDenialReason => finalDenials.has(reason)
 
-export interface Asking {
+export interface AdmissionRequest {
   host: string
   path: string
   credential: Credential
   /** The table is proven fresh enough to authenticate keys. */
-  confirmed: boolean
+  tableConfirmed: boolean
 }
 
-export const admit = (routes: RouteIndex, { host, path, credential, confirmed }: Asking): Admitted | Denial => {
+export const admit = (routes: RouteIndex, { host, path, credential, tableConfirmed: confirmed }: AdmissionRequest): Admission | Denial => {
   const route = routes.find(host, path)
   if (route === undefined) return { type: 'denied', reason: 'no_route', route }
   const team = credential.type === 'key' ? routes.teamOf(credential.hash) : undefined
   const keyed = team !== undefined || (credential.type === 'key' && route.public !== true)
-  if (routes.keyed && keyed && !confirmed) return { type: 'denied', reason: 'keys_not_confirmed', route }
-  if (team === undefined && routes.keyed && route.public !== true) return { type: 'denied', reason: 'key_not_known', route }
+  if (routes.requiresKey && keyed && !confirmed) return { type: 'denied', reason: 'keys_not_confirmed', route }
+  if (team === undefined && routes.requiresKey && route.public !== true) return { type: 'denied', reason: 'key_not_known', route }
   return { type: 'admitted', route, team, priority: team?.priority ?? route.priority }
 }
--- a/packages/fleet/src/entry/attempt.ts
+++ b/packages/fleet/src/entry/attempt.ts
@@ -10,12 +10,12 @@
 import { nowMs } from '../clock.js'
 import type { HeaderNames } from '../ports.js'
 import type { Cancellation } from './cancellation.js'
-import type { Delivery, RawHeaders } from './delivery.js'
-import type { EventCutter } from './event-stream.js'
+import type { CallerResponse, RawHeaders } from './caller-response.js'
+import type { EventFramer } from './event-stream.js'
 import { headerOf } from './header.js'
-import { serverWordOf, type ServerWord } from './server-word.js'
+import { readServerFeedback, type ServerFeedback } from './server-feedback.js'
 
-export interface Outgoing {
+export interface OutgoingRequest {
   method: string
   path: string
   headers: string[]
@@ -26,7 +26,7 @@
   agent: Agent
   /** `host:port`. */
   address: string
-  outgoing: Outgoing
+  outgoing: OutgoingRequest
   requestId: string
   /** Id of the server that the request is meant for. */
   serverId: string
@@ -37,22 +37,22 @@
    * Whether the request may still be sent. Called once the connection is established and before anything is written, which may
    * be long after the attempt began.
    */
-  permit: () => boolean
+  maySend: () => boolean
   /** A new connection was established, after `ms` milliseconds. */
-  cameUp: (ms: number) => void
+  onConnected: (ms: number) => void
   /** Forward the response body as it arrives instead of buffering it. */
   stream: boolean
   /** Set for a stream that may be resumed at another server: only complete events are forwarded. */
-  cutter: EventCutter | undefined
-  delivery: Delivery
+  eventFramer: EventFramer | undefined
+  delivery: CallerResponse
   cancellation: Cancellation
   /** The head of the response arrived. */
-  heard: () => void
+  onResponse: () => void
   /** What the server reports about itself in the response headers; called before the response is validated. */
-  said: (word: ServerWord) => void
+  onServerFeedback: (word: ServerFeedback) => void
 }
 
-export type AttemptEnd =
+export type AttemptResult =
   | { type: 'not_sent', detail: string }
   /** `AttemptOptions.maySend` returned false. */
   | { type: 'withheld' }
@@ -70,7 +70,7 @@
 /** Statuses that by themselves tell a caller that its request has not run. */
 const notRunStatuses = new Set([408, 421, 429, 503])
 
-export const attempt = (options: AttemptOptions): Promise<AttemptEnd> => new Promise(resolve => {
+export const attempt = (options: AttemptOptions): Promise<AttemptResult> => new Promise(resolve => {
   const { agent, outgoing, cancellation, connectMs } = options
   let request: ClientRequest
   try {
@@ -86,7 +86,7 @@
   const abortConnect = (): void => {
     if (!connected) request.destroy(new Error(`connection not established within ${connectMs} ms`))
   }
-  const finish = (end: AttemptEnd): void => {
+  const finish = (end: AttemptResult): void => {
     if (finished) return
     finished = true
     clearTimeout(connectTimer)
@@ -102,7 +102,7 @@
   const send = (): void => {
     clearTimeout(connectTimer)
     if (finished) return
-    if (!options.permit()) {
+    if (!options.maySend()) {
       finish({ type: 'withheld' })
       request.destroy()
       return
@@ -114,7 +114,7 @@
     if (!socket.connecting) return send()
     const began = nowMs()
     socket.once('connect', () => {
-      options.cameUp(nowMs() - began)
+      options.onConnected(nowMs() - began)
       send()
     })
   })
@@ -124,9 +124,9 @@
     finish({ type: options.delivery.started ? 'interrupted' : 'broken', detail: error.message })
   })
   request.on('response', response => {
-    const word = serverWordOf(response, options.names, options.serverId)
-    if (word !== undefined) options.said(word)
-    options.heard()
+    const word = readServerFeedback(response, options.names, options.serverId)
+    if (word !== undefined) options.onServerFeedback(word)
+    options.onResponse()
     // The unsent rest of a request that was answered early must not be written ahead of the next one on this connection.
     if (!request.writableFinished) response.once('end', () => request.destroy())
     void readResponse(response, request, options).then(finish)
@@ -134,9 +134,9 @@
   if (cancellation.cancelled) cancel()
 })
 
-const readResponse = async (response: IncomingMessage, request: ClientRequest, options: AttemptOptions): Promise<AttemptEnd> => {
+const readResponse = async (response: IncomingMessage, request: ClientRequest, options: AttemptOptions): Promise<AttemptResult> => {
   const { names, requestId, stream } = options
-  const reject = (detail: string): AttemptEnd => {
+  const reject = (detail: string): AttemptResult => {
     response.on('error', () => {})
     request.destroy()
     return { type: 'broken', detail }
@@ -152,7 +152,7 @@
   return succeeded && stream ? await forwardStream(response, status, options) : await bufferResponse(response, status)
 }
 
-const readRefusal = (response: IncomingMessage, { names, serverId }: AttemptOptions): AttemptEnd => {
+const readRefusal = (response: IncomingMessage, { names, serverId }: AttemptOptions): AttemptResult => {
   const status = response.statusCode ?? 0
   const retryAfter = headerOf(response, names.retryAfter)
   const refuser = headerOf(response, names.serverId)
@@ -164,7 +164,7 @@
   return { type: 'not_run', status, retryAfter, cause: otherServer ? 'another_server' : 'not_held' }
 }
 
-const bufferResponse = (response: IncomingMessage, status: number): Promise<AttemptEnd> => new Promise(resolve => {
+const bufferResponse = (response: IncomingMessage, status: number): Promise<AttemptResult> => new Promise(resolve => {
   const chunks: Buffer[] = []
   response.on('data', (chunk: Buffer) => chunks.push(chunk))
   response.on('error', error => resolve({ type: 'broken', detail: `response body incomplete: ${error.message}` }))
@@ -175,12 +175,12 @@
   response.on('close', () => resolve({ type: 'broken', detail: 'connection closed before the end of the response' }))
 })
 
-const forwardStream = (response: IncomingMessage, status: number, { delivery, cutter: framer }: AttemptOptions): Promise<AttemptEnd> => new Promise(resolve => {
-  if (!delivery.started) delivery.start(status, response.rawHeaders)
+const forwardStream = (response: IncomingMessage, status: number, { delivery, eventFramer: framer }: AttemptOptions): Promise<AttemptResult> => new Promise(resolve => {
+  if (!delivery.started) delivery.startStream(status, response.rawHeaders)
   let bytes = 0
   const resume = (): void => { response.resume() }
   const interrupted = (detail: string): void => {
-    framer?.drop()
+    framer?.discardPartial()
     resolve({ type: 'interrupted', detail })
   }
   response.on('data', (chunk: Buffer) => {
@@ -191,7 +191,7 @@
   response.on('error', error => interrupted(error.message))
   response.on('end', () => {
     if (!response.complete) return interrupted('response stream incomplete')
-    if (framer !== undefined && framer.rest.length > 0) return interrupted('response stream ended within an event')
+    if (framer !== undefined && framer.partial.length > 0) return interrupted('response stream ended within an event')
     resolve({ type: 'streamed', status, bytes })
   })
   response.on('close', () => interrupted('connection closed before the end of the response stream'))
--- a/packages/fleet/src/entry/balancer.ts
+++ b/packages/fleet/src/entry/balancer.ts
@@ -8,15 +8,15 @@
 import type { Limits } from '../ports.js'
 import type { BackendServer } from '../server.js'
 import type { FleetService } from '../table.js'
-import { chooseEngine, choosePlain, type Choice, type EngineChoice, type EngineOption, type Option } from './choice.js'
-import { ReadingPace } from './reading-pace.js'
-import type { Pending, ServerState } from './server-state.js'
+import { chooseEngine, choosePlain, type Choice, type EngineSelection, type EngineCandidate, type ServerCandidate } from './choice.js'
+import { PrefillRate } from './prefill-rate.js'
+import type { PendingRequest, ServerState } from './server-state.js'
 import { ServerStates } from './server-states.js'
 import { noLimits, type LimitsView } from './server-limits.js'
 import type { SideLinks } from './side-links.js'
 
 /** The operations on side process connections that the balancer uses. */
-export type Placers = Pick<SideLinks, 'orderable' | 'warm' | 'awaits' | 'want' | 'usesChanged'>
+export type AdapterPlacement = Pick<SideLinks, 'orderable' | 'warm' | 'awaits' | 'want' | 'usesChanged'>
 
 /**
  * A prompt with fewer unprocessed tokens ahead of it than this share of its own is taken as uncontended, and its prefill time
@@ -43,7 +43,7 @@
 }
 
 /** The properties of a request that a server is selected by. */
-export interface Asked {
+export interface SelectionRequest {
   service: FleetService
   /** Adapter or model key; `undefined` at a plain service. */
   key: string | undefined
@@ -59,7 +59,7 @@
 export class Balancer {
   readonly states = new ServerStates(id => this.links().usesChanged(id))
   /** Prefill rate over all engines, from prompts with few unprocessed tokens ahead of them. */
-  readonly pace = new ReadingPace()
+  readonly prefillRate = new PrefillRate()
   /** Servers in backoff, or whose concurrency still ramps up after one. */
   readonly #restricted = new Set<string>()
 
@@ -67,7 +67,7 @@
     private readonly facts: Facts,
     private readonly domain: string,
     private readonly limits: () => Limits,
-    private readonly links: () => Placers,
+    private readonly links: () => AdapterPlacement,
     private readonly log: Log,
     /** Number of entries, as far as known. */
     private readonly entries: () => number = () => 1,
@@ -77,14 +77,14 @@
 
   state (server: BackendServer): ServerState {
     const service = this.facts.routes?.service(server.service)
-    return this.states.of(server, service?.maxConnections)
+    return this.states.getOrCreate(server, service?.maxConnections)
   }
 
   /**
    * A rate-limited server is selected like any other while this entry may send it a request; what exceeds the limit goes to
    * the other servers of its service.
    */
-  choose (asked: Asked): Choice {
+  choose (asked: SelectionRequest): Choice {
     if (this.serverLimits.none) return this.#select(asked)
     const choice = this.#select(asked)
     const server = choice.type === 'send' ? this.facts.servers.get(choice.id) : undefined
@@ -97,7 +97,7 @@
    * If the server that would be selected is rate-limited, waits until this entry may send it a request or the other entries
    * have been asked for unused allowance. Resolves with the id of the server if it still may not be sent one.
    */
-  async bringRequest (asked: Asked): Promise<string | undefined> {
+  async awaitRateLimit (asked: SelectionRequest): Promise<string | undefined> {
     if (this.serverLimits.none) return undefined
     const choice = this.#select(asked)
     const server = choice.type === 'send' ? this.facts.servers.get(choice.id) : undefined
@@ -106,7 +106,7 @@
 
   /** When the first of the service's rate-limited servers may be sent a request; `undefined` if none of its servers is rate-limited. */
   limitedChoice (service: string): Extract<Choice, { type: 'limited' }> | undefined {
-    const states = this.facts.openTo(service).map(server => this.serverLimits.state(server)).filter(state => state !== undefined)
+    const states = this.facts.eligibleServers(service).map(server => this.serverLimits.state(server)).filter(state => state !== undefined)
     if (states.length === 0) return undefined
     const readyInMs = Math.min(...states.map(state => state.readyInMs))
     const perSecond = states.reduce((sum, state) => sum + state.perSecond, 0)
@@ -119,8 +119,8 @@
     return server !== undefined && this.serverLimits.state(server) !== undefined
   }
 
-  #select (asked: Asked, mayUse?: (server: BackendServer) => boolean): Choice {
-    const all = this.facts.openTo(asked.service.name)
+  #select (asked: SelectionRequest, mayUse?: (server: BackendServer) => boolean): Choice {
+    const all = this.facts.eligibleServers(asked.service.name)
     const open = mayUse === undefined ? all : all.filter(mayUse)
     const remaining = asked.excluded.size === 0 ? open : open.filter(server => !asked.excluded.has(server.id))
     const servers = this.#restricted.size === 0 ? remaining : remaining.filter(server => this.#hasCapacity(server))
@@ -137,9 +137,9 @@
    * the request that it was sent in answer to, a server that had asked for 3 s got 10 to 25 requests in each second of them.
    * `state`: of the incarnation that asked; a later one is not affected.
    */
-  rest (server: BackendServer, state: ServerState, askedMs: number, request: string): void {
+  backOff (server: BackendServer, state: ServerState, askedMs: number, request: string): void {
     if (this.states.get(server.id) !== state) return
-    const { rest } = state
+    const { backoff: rest } = state
     const now = nowMs()
     const started = rest.ask(askedMs + Math.random() * this.#maxJitterMs(server), now)
     this.#restricted.add(server.id)
@@ -147,14 +147,14 @@
   }
 
   /** Number of servers in backoff. */
-  get resting (): number {
+  get serversInBackoff (): number {
     const now = nowMs()
-    return [...this.#restricted].filter(id => this.states.get(id)?.rest.resting(now) === true).length
+    return [...this.#restricted].filter(id => this.states.get(id)?.backoff.active(now) === true).length
   }
 
   /** Whether a request may be written to the server now: it is neither leaving nor in backoff. */
-  mayTake (server: BackendServer): boolean {
-    return this.facts.servers.get(server.id)?.leaving !== true && !this.state(server).rest.resting(nowMs())
+  isAvailable (server: BackendServer): boolean {
+    return this.facts.servers.get(server.id)?.leaving !== true && !this.state(server).backoff.active(nowMs())
   }
 
   /**
@@ -171,26 +171,26 @@
    */
   expire (): void {
     const now = nowMs()
-    for (const id of this.#restricted) if (this.states.get(id)?.rest.over(now) !== false) this.#restricted.delete(id)
+    for (const id of this.#restricted) if (this.states.get(id)?.backoff.rampedUp(now) !== false) this.#restricted.delete(id)
   }
 
   #hasCapacity (server: BackendServer): boolean {
     if (!this.#restricted.has(server.id)) return true
-    const { rest, inFlight } = this.state(server)
-    return inFlight < rest.room(server.slots, nowMs())
+    const { backoff: rest, inFlight } = this.state(server)
+    return inFlight < rest.concurrencyLimit(server.slots, nowMs())
   }
 
   /** The choice when every one of `servers` is in backoff or at its ramp-up limit; `undefined` when other reasons exclude them. */
   #backoffChoice (servers: readonly BackendServer[]): Choice | undefined {
     if (servers.length === 0 || servers.some(server => this.#hasCapacity(server))) return undefined
     const now = nowMs()
-    const readyInMs = Math.min(...servers.map(server => this.state(server).rest.leftMs(now)))
+    const readyInMs = Math.min(...servers.map(server => this.state(server).backoff.leftMs(now)))
     if (readyInMs === 0) return { type: 'full', reason: 'servers that rested take requests one by one' }
     return { type: 'resting', readyInMs, reason: 'all servers asked for rest' }
   }
 
   /** Considers the engines that hold the key first, and all engines only if none of those answers within the objective. */
-  #chooseEngine (servers: readonly BackendServer[], key: string, asked: Asked): Choice {
+  #chooseEngine (servers: readonly BackendServer[], key: string, asked: SelectionRequest): Choice {
     const ids = this.states.holders.of(key)
     if (ids.size > 0 && ids.size < servers.length) {
       const choice = chooseEngine(this.#engineSelection(servers.filter(server => ids.has(server.id)), key, asked))
@@ -200,14 +200,14 @@
   }
 
   /** Records that the first byte of an answer arrived. */
-  heard ({ sentAt, tokens, tokensAhead }: Pending): void {
+  recordFirstByte ({ sentAt, tokens, tokensAhead }: PendingRequest): void {
     const now = nowMs()
-    if (tokensAhead < tokens * uncontendedShare) this.pace.add(now - sentAt, tokens, now)
+    if (tokensAhead < tokens * uncontendedShare) this.prefillRate.add(now - sentAt, tokens, now)
   }
 
   /** Estimated prefill time of so many prompt tokens, from recent requests over all engines. */
-  readingMs (tokens: number): number {
-    return tokens * this.pace.msPerToken(nowMs())
+  prefillMs (tokens: number): number {
+    return tokens * this.prefillRate.msPerToken(nowMs())
   }
 
   /** Asks the side process of engine `ask` to load the key. `waiting`: how many requests wait for it. */
@@ -218,26 +218,26 @@
 
   /** The version of the key that an engine holds; `undefined` if it holds none that may still be used. */
   heldVersion (server: BackendServer, key: string): number | undefined {
-    const held = this.states.get(server.id)?.holding?.held.get(key)
+    const held = this.states.get(server.id)?.engineReport?.held.get(key)
     return held !== undefined && held >= this.#oldestUsableVersion(key, nowMs()) ? held : undefined
   }
 
   /** Corrects the state of an engine that refused a request because it doesn't hold the key. */
-  notHeld (server: BackendServer, key: string): void {
-    const holding = this.states.get(server.id)?.holding
+  recordNotHeld (server: BackendServer, key: string): void {
+    const holding = this.states.get(server.id)?.engineReport
     if (holding === undefined) return
     const held = new Map(holding.held)
     held.delete(key)
-    this.states.hold(server.id, held)
+    this.states.updateHeld(server.id, held)
     this.log.info('holding.corrected', { server: server.id, key, age: Math.round(nowMs() - holding.at) })
   }
 
-  #engineSelection (servers: readonly BackendServer[], key: string, asked: Asked): EngineChoice {
+  #engineSelection (servers: readonly BackendServer[], key: string, asked: SelectionRequest): EngineSelection {
     const now = nowMs()
     const oldestVersion = this.#oldestUsableVersion(key, now)
     const avoidLimited = !this.serverLimits.none && servers.some(server => this.serverLimits.state(server) === undefined)
     const options = servers.map(server => this.#engineCandidate(server, key, asked, { now, oldestVersion, avoidLimited }))
-    return { options, domain: this.domain, key, inTimeMs: asked.inTimeMs }
+    return { candidates: options, domain: this.domain, key, inTimeMs: asked.inTimeMs }
   }
 
   /** The oldest version of the key that may be used. */
@@ -247,7 +247,7 @@
     return now - newest.learnedAt < this.limits().versionMs * previousVersionShare ? 0 : newest.version
   }
 
-  #candidate (server: BackendServer, now: number): Option {
+  #candidate (server: BackendServer, now: number): ServerCandidate {
     const state = this.state(server)
     return {
       id: server.id,
@@ -255,8 +255,8 @@
       domain: server.domain,
       load: state.load,
       slots: server.slots,
-      doubtful: state.outlier.ejected(now) || state.silentAt(now),
-      lapsed: this.facts.lapsed(server.id)
+      unhealthy: state.outlier.ejected(now) || state.isUnresponsive(now),
+      fallback: this.facts.isFallback(server.id)
     }
   }
 
@@ -264,9 +264,9 @@
    * Runs for every engine of every selection, so it copies nothing, and properties that few selections read are computed on
    * access.
    */
-  #engineCandidate (server: BackendServer, key: string, { promptTokens, priority }: Asked, { now, oldestVersion, avoidLimited }: SelectionContext): EngineOption {
+  #engineCandidate (server: BackendServer, key: string, { promptTokens, priority }: SelectionRequest, { now, oldestVersion, avoidLimited }: SelectionContext): EngineCandidate {
     const state = this.state(server)
-    const { holding } = state
+    const { engineReport: holding } = state
     const links = this.links()
     const limits = this.serverLimits
     return {
@@ -275,13 +275,13 @@
       domain: server.domain,
       load: state.load,
       slots: server.slots,
-      doubtful: state.outlier.ejected(now) || state.silentAt(now) || holding?.reachable === false,
-      lapsed: this.facts.lapsed(server.id),
+      unhealthy: state.outlier.ejected(now) || state.isUnresponsive(now) || holding?.reachable === false,
+      fallback: this.facts.isFallback(server.id),
       holds: (holding?.held.get(key) ?? -1) >= oldestVersion,
       expectedMs: state.expectedMs(promptTokens, priority, now),
       get coming () { return holding?.coming.has(key) === true || links.awaits(server, key) },
       get warm () { return links.warm(server, key) },
-      get orderable () { return !(avoidLimited && limits.state(server) !== undefined) && links.orderable(server, key) }
+      get canRequestLoad () { return !(avoidLimited && limits.state(server) !== undefined) && links.orderable(server, key) }
     }
   }
 }
--- a/packages/fleet/src/entry/caller-connections.ts
+++ b/packages/fleet/src/entry/caller-connections.ts
@@ -41,13 +41,13 @@
     return this.#entries
   }
 
-  noteEntries (entries: number): void {
+  setEntryCount (entries: number): void {
     if (this.#entries > 0 && entries > this.#entries) this.#rebalanceAt = nowMs() + readinessDelayMs
     this.#entries = entries
   }
 
   /** Whether the next response on the connection should be its last. */
-  isOld (socket: Socket): boolean {
+  shouldClose (socket: Socket): boolean {
     const connection = this.#open.get(socket)
     if (connection === undefined || connection.at > this.#rebalanceAt) return false
     return nowMs() > this.#rebalanceAt + connection.spreadFraction * closeSpreadMs
--- a/packages/fleet/src/entry/delivery.ts
+++ b/packages/fleet/src/entry/caller-response.ts
@@ -17,7 +17,7 @@
 }
 
 /** The headers to forward: all but hop-by-hop headers, those that `Connection` names and those in `without`. */
-export const passedHeaders = (raw: RawHeaders, without: ReadonlySet<string>): string[] => {
+export const forwardedHeaders = (raw: RawHeaders, without: ReadonlySet<string>): string[] => {
   const connectionOptions = new Set<string>()
   for (const [name, value] of headerPairs(raw)) {
     if (name.toLowerCase() !== 'connection') continue
@@ -43,7 +43,7 @@
 
 const contentLengthOnly = new Set(['content-length'])
 
-export class Delivery {
+export class CallerResponse {
   #started = false
 
   constructor (private readonly response: ServerResponse, private readonly closeAfterResponse: () => boolean) {}
@@ -55,14 +55,14 @@
 
   /** Sends a buffered response of a server. `bodyless`: it answers a HEAD request, or its status allows no body. */
   whole (status: number, raw: RawHeaders, body: Buffer, bodyless: boolean): void {
-    const headers = passedHeaders(raw, bodyless ? new Set() : contentLengthOnly)
+    const headers = forwardedHeaders(raw, bodyless ? new Set() : contentLengthOnly)
     if (!bodyless && isFramed(raw)) headers.push('Content-Length', String(body.length))
     this.#writeHead(status, headers, bodyless || isFramed(raw))
     this.response.end(bodyless ? undefined : body)
   }
 
   /** Sends a response that the entry generates itself. Aborts the response if one is already under way. */
-  own (status: number, headers: Record<string, string>, message: string): void {
+  sendLocalReply (status: number, headers: Record<string, string>, message: string): void {
     if (this.#started || this.response.headersSent) return this.cut()
     const body = Buffer.from(JSON.stringify({ error: message }))
     const flatHeaders = Object.entries({ 'Content-Type': 'application/json', 'Content-Length': String(body.length), ...headers }).flat()
@@ -71,8 +71,8 @@
   }
 
   /** Sends the head of a streamed response. */
-  start (status: number, raw: RawHeaders): void {
-    this.#writeHead(status, passedHeaders(raw, contentLengthOnly), isFramed(raw))
+  startStream (status: number, raw: RawHeaders): void {
+    this.#writeHead(status, forwardedHeaders(raw, contentLengthOnly), isFramed(raw))
     this.response.flushHeaders()
   }
 
--- a/packages/fleet/src/entry/choice.ts
+++ b/packages/fleet/src/entry/choice.ts
@@ -5,10 +5,10 @@
  * since traffic between domains costs. Loading an adapter from the weight store costs more than some eight requests across
  * domains, so a rarely used adapter is used where it is, and loaded nearer only once it is requested repeatedly.
  */
-import { affinityOf, hashOf } from '@finchpitch/decisions'
-import { lowest } from '../lowest.js'
+import { rendezvousScore, hashOf } from '@finchpitch/decisions'
+import { minBy } from '../min-by.js'
 
-export interface Option {
+export interface ServerCandidate {
   id: string
   /** Hash of the id. */
   hash: number
@@ -18,12 +18,12 @@
   /** Requests that it processes at once. */
   slots: number
   /** Ejected as an outlier, unresponsive or unreachable: selected only as a last resort. */
-  doubtful: boolean
+  unhealthy: boolean
   /** Its registration disappeared recently: selected only if no registered server is left. */
-  lapsed: boolean
+  fallback: boolean
 }
 
-export interface EngineOption extends Option {
+export interface EngineCandidate extends ServerCandidate {
   /** Has the key loaded, in a version that may be used. */
   holds: boolean
   /** The key is being loaded. */
@@ -33,7 +33,7 @@
   /** Has a copy of the key in its own memory, so that a load is quick and spares the weight store. */
   warm: boolean
   /** Its side process can be asked to load the key. */
-  orderable: boolean
+  canRequestLoad: boolean
 }
 
 export type Choice =
@@ -72,23 +72,23 @@
 const crossDomainPenaltyMs = 60
 
 /** The candidates that are healthy; if there are none, those that are registered; else all. */
-const usable = <T extends Option>(options: readonly T[]): T[] => {
-  const healthy = options.filter(candidate => !candidate.doubtful && !candidate.lapsed)
+const usable = <T extends ServerCandidate>(options: readonly T[]): T[] => {
+  const healthy = options.filter(candidate => !candidate.unhealthy && !candidate.fallback)
   if (healthy.length > 0) return healthy
-  const registered = options.filter(candidate => !candidate.lapsed)
+  const registered = options.filter(candidate => !candidate.fallback)
   return registered.length > 0 ? registered : [...options]
 }
 
-export const choosePlain = (options: readonly Option[], domain: string): Choice => {
+export const choosePlain = (options: readonly ServerCandidate[], domain: string): Choice => {
   if (options.length === 0) return { type: 'none', reason: 'no server of the service' }
   const open = usable(options).filter(candidate => candidate.load < candidate.slots + plainQueueDepth)
-  const best = lowest(open, candidate => candidate.load + (candidate.domain === domain ? 0 : crossDomainLoadPenalty) + Math.random())
+  const best = minBy(open, candidate => candidate.load + (candidate.domain === domain ? 0 : crossDomainLoadPenalty) + Math.random())
   if (best === undefined) return { type: 'full', reason: 'all servers are full' }
   return { type: 'send', id: best.id, reason: best.domain === domain ? 'least loaded near' : 'least loaded', expectedMs: 0 }
 }
 
-export interface EngineChoice {
-  options: readonly EngineOption[]
+export interface EngineSelection {
+  candidates: readonly EngineCandidate[]
   domain: string
   /** Adapter or model key. */
   key: string
@@ -109,22 +109,22 @@
  */
 const affinityPenaltyMs = 500
 
-const hasCapacity = (candidate: Option): boolean => candidate.load < candidate.slots + engineQueueDepth
+const hasCapacity = (candidate: ServerCandidate): boolean => candidate.load < candidate.slots + engineQueueDepth
 
 /**
  * The engine expected to answer first; ties are broken by rendezvous hashing, so that the order changes only when engines join
  * or leave.
  */
-const soonest = (options: readonly EngineOption[], { key, domain }: EngineChoice): EngineOption | undefined => {
+const soonest = (options: readonly EngineCandidate[], { key, domain }: EngineSelection): EngineCandidate | undefined => {
   if (options.length < 2) return options[0]
   const keyHash = hashOf(key)
-  const cost = (candidate: EngineOption): number =>
-    Math.floor((candidate.expectedMs + (candidate.domain === domain ? 0 : crossDomainPenaltyMs)) / expectedStepMs) + affinityOf(keyHash, candidate.hash)
-  return lowest(options, cost)
+  const cost = (candidate: EngineCandidate): number =>
+    Math.floor((candidate.expectedMs + (candidate.domain === domain ? 0 : crossDomainPenaltyMs)) / expectedStepMs) + rendezvousScore(keyHash, candidate.hash)
+  return minBy(options, cost)
 }
 
-export const chooseEngine = (choice: EngineChoice): Choice => {
-  const { options } = choice
+export const chooseEngine = (choice: EngineSelection): Choice => {
+  const { candidates: options } = choice
   if (options.length === 0) return { type: 'none', reason: 'no engine of the service' }
   const holders = usable(options.filter(candidate => candidate.holds))
   const open = holders.filter(hasCapacity)
@@ -132,7 +132,7 @@
   const best = notBusy ?? soonest(open, choice)
   if (best !== undefined) return sendOrReplicate(best, notBusy === undefined, choice)
   const held = holders.length > 0
-  if (options.some(candidate => candidate.coming && !candidate.doubtful)) return { type: 'bring', ask: undefined, held, reason: 'on its way' }
+  if (options.some(candidate => candidate.coming && !candidate.unhealthy)) return { type: 'bring', ask: undefined, held, reason: 'on its way' }
   const ask = loadTarget(choice)?.id
   if (ask !== undefined) return { type: 'bring', ask, held, reason: held ? 'its holders are full' : 'held nowhere' }
   if (held) return { type: 'full', reason: 'its holders are full' }
@@ -144,12 +144,12 @@
  * A request that would miss its objective at the best holder waits for a new replica if it would meet the objective there.
  * Otherwise an adapter with more prompts than one engine can process would stay on one engine until its batch is full.
  */
-const sendOrReplicate = (best: EngineOption, busy: boolean, choice: EngineChoice): Choice => {
-  const { domain, inTimeMs, options } = choice
+const sendOrReplicate = (best: EngineCandidate, busy: boolean, choice: EngineSelection): Choice => {
+  const { domain, inTimeMs, candidates: options } = choice
   const { id, expectedMs } = best
   const reason = busy ? 'held, busy' : best.domain === domain ? 'held near' : 'held across'
   const send: Choice = { type: 'send', id, reason, expectedMs }
-  if (expectedMs < inTimeMs || options.some(candidate => candidate.coming && !candidate.doubtful)) return send
+  if (expectedMs < inTimeMs || options.some(candidate => candidate.coming && !candidate.unhealthy)) return send
   const other = loadTarget(choice)
   const otherMs = other === undefined ? Infinity : firstTokenAfterLoadMs(other)
   if (otherMs > inTimeMs || otherMs + coldLoadPenaltyMs > expectedMs) return send
@@ -157,19 +157,19 @@
 }
 
 /** Time to the first token at an engine that has to load the adapter first; it processes the prompts ahead during the load. */
-const firstTokenAfterLoadMs = ({ warm, expectedMs }: EngineOption): number => Math.max(warm ? warmLoadMs : coldLoadMs, expectedMs)
+const firstTokenAfterLoadMs = ({ warm, expectedMs }: EngineCandidate): number => Math.max(warm ? warmLoadMs : coldLoadMs, expectedMs)
 
 /**
  * The engine that should load the key: one that can start soon, preferably with a copy in memory, and among equals the one with
  * the highest rendezvous affinity. All entries pick the same one, whatever their domain, so that simultaneous requests don't
  * create replicas: with a preferred engine per domain, 71.4% of 8,290 generations on 8 engines met the objective instead of 72.7%.
  */
-const loadTarget = ({ options, key }: EngineChoice): EngineOption | undefined => {
+const loadTarget = ({ candidates: options, key }: EngineSelection): EngineCandidate | undefined => {
   const eligible = options.filter(candidate =>
-    !candidate.holds && !candidate.coming && !candidate.doubtful && !candidate.lapsed && hasCapacity(candidate) && candidate.orderable)
+    !candidate.holds && !candidate.coming && !candidate.unhealthy && !candidate.fallback && hasCapacity(candidate) && candidate.canRequestLoad)
   const keyHash = hashOf(key)
-  const cost = (candidate: EngineOption): number =>
+  const cost = (candidate: EngineCandidate): number =>
     Math.floor(firstTokenAfterLoadMs(candidate) / startStepMs) * startStepMs + (candidate.warm ? 0 : coldLoadPenaltyMs) +
-    affinityOf(keyHash, candidate.hash) * affinityPenaltyMs
-  return lowest(eligible, cost)
+    rendezvousScore(keyHash, candidate.hash) * affinityPenaltyMs
+  return minBy(eligible, cost)
 }
--- a/packages/fleet/src/entry/connect-limit.ts
+++ b/packages/fleet/src/entry/connect-timeout.ts
@@ -5,7 +5,7 @@
  * process itself is overloaded, all connects are slow, and abandoning them would make it open more connections and slow down
  * further.
  */
-import { Estimate } from '@finchpitch/decisions'
+import { MovingAverage } from '@finchpitch/decisions'
 
 /** Lower bound: connects normally take a few milliseconds. */
 const minMs = 200
@@ -14,15 +14,15 @@
 /** The timeout as a multiple of recent connect times. */
 const marginFactor = 6
 
-export class ConnectLimit {
-  readonly #connectTime = new Estimate(0)
+export class ConnectTimeout {
+  readonly #connectTime = new MovingAverage(0)
 
   get ms (): number {
     return Math.min(maxMs, Math.max(minMs, this.#connectTime.value * marginFactor))
   }
 
   /** Records a connection that was established after `ms`. */
-  cameUp (ms: number): void {
+  recordConnect (ms: number): void {
     this.#connectTime.add(ms)
   }
 }
--- a/packages/fleet/src/entry/counters.ts
+++ b/packages/fleet/src/entry/counters.ts
@@ -2,11 +2,11 @@
  * Metrics of an entry process. Label values are fixed sets of low cardinality: never an adapter, a team or a request.
  */
 import { Counter, Histogram } from 'prom-client'
-import { Registered } from '../registered.js'
+import { MetricsRegistry } from '../metrics-registry.js'
 
 const latencyBuckets = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1, 2, 5, 10]
 
-export class EntryCounters extends Registered {
+export class EntryCounters extends MetricsRegistry {
   readonly ended = new Counter({
     name: 'finchpitch_requests_ended_total',
     help: 'Requests ended, by kind of route and outcome.',
@@ -51,7 +51,7 @@
     registers: [this.registry]
   })
 
-  readonly serverEnds = new Counter({
+  readonly serverCrashes = new Counter({
     name: 'finchpitch_server_ends_total',
     help: 'Attempts that failed because their backend server terminated unexpectedly.',
     registers: [this.registry]
@@ -63,7 +63,7 @@
     registers: [this.registry]
   })
 
-  readonly heldBack = new Counter({
+  readonly rateLimited = new Counter({
     name: 'finchpitch_requests_held_back_total',
     help: 'Times that a request was not sent to a backend server because of the rate limit that the server states.',
     registers: [this.registry]
--- a/packages/fleet/src/entry/crashes.ts
+++ b/packages/fleet/src/entry/crashes.ts
@@ -5,16 +5,16 @@
  * again, so ends go round within some ms; an entry out of touch holds what it knows.
  */
 import type { Log, RequestFingerprint } from '@finchpitch/core'
-import { CrashLedger, crashLimits, type QuarantineCase } from '@finchpitch/decisions'
+import { CrashHistory, quarantineLimits, type Quarantine } from '@finchpitch/decisions'
 import type { Channel, FrameOf } from '@finchpitch/wire'
 import { nowMs } from '../clock.js'
-import { greetWith, nothing, takeCrashes, type TryNews } from '../try-news.js'
+import { sendKnownCrashes, noReports, recordCrashes, type AttemptReports } from '../attempt-reports.js'
 import type { Facts } from '../facts.js'
-import { lifeOf } from '../server-life.js'
-import { isFormer, type BackendServer } from '../server.js'
+import { incarnationOf } from '../incarnation.js'
+import { isEarlierIncarnation, type BackendServer } from '../server.js'
 import type { EntryCounters } from './counters.js'
 import type { TryNewsExchange } from './try-news-exchange.js'
-import type { ServerEnds } from './server-ends.js'
+import type { ServerLiveness } from './server-liveness.js'
 
 /**
  * A server that ends is back, listed as another one, within some seconds. One whose address accepted after the break, since
@@ -35,7 +35,7 @@
 
 export interface CrashesOptions {
   facts: Facts
-  ends: ServerEnds
+  ends: ServerLiveness
   exchange: Pick<TryNewsExchange, 'tell'>
   /** Asks whether this entry may run a request whose quarantine has lapsed. */
   askProbe: (fingerprint: RequestFingerprint) => Promise<boolean>
@@ -51,7 +51,7 @@
 }
 
 export class Crashes {
-  readonly #ledger = new CrashLedger(crashLimits)
+  readonly #ledger = new CrashHistory(quarantineLimits)
   /** Whose servers have not shown to have ended; the oldest first. */
   #unproved: Break[] = []
 
@@ -65,7 +65,7 @@
   }
 
   /** Why the request is not to be sent now. */
-  quarantine (fingerprint: RequestFingerprint): QuarantineCase | undefined {
+  quarantine (fingerprint: RequestFingerprint): Quarantine | undefined {
     return this.#ledger.quarantine(fingerprint, nowMs())
   }
 
@@ -81,8 +81,8 @@
     log.info('request.probe', { request, fingerprint, granted })
     if (!granted) return false
     const probe = { fingerprint, at: nowMs() }
-    this.#ledger.probed(probe, nowMs())
-    exchange.tell({ ...nothing, probes: [probe] })
+    this.#ledger.recordProbe(probe, nowMs())
+    exchange.tell({ ...noReports, probes: [probe] })
     return true
   }
 
@@ -103,7 +103,7 @@
     if (this.#unproved.length === 0) return
     const now = nowMs()
     const recent = this.#unproved.filter(each => now - each.endedAt < replacedMs)
-    const ended = recent.filter(({ server }) => server.address === by.address && (server.id !== by.id || isFormer(server.bornAt, by.bornAt)))
+    const ended = recent.filter(({ server }) => server.address === by.address && (server.id !== by.id || isEarlierIncarnation(server.bornAt, by.bornAt)))
     this.#unproved = recent.filter(each => !ended.includes(each))
     if (ended.length === 0) return
     this.options.log.info('server.replaced', { by: by.id, brokeOff: ended.map(each => each.fingerprint), agoMs: Math.round(now - (ended[0]?.endedAt ?? now)) })
@@ -114,9 +114,9 @@
   #ended (tries: readonly Break[]): void {
     const { exchange, counters } = this.options
     const now = nowMs()
-    counters.serverEnds.inc(tries.length)
-    const crashes = tries.map(({ fingerprint, server, sentAt, endedAt }) => ({ fingerprint, server: lifeOf(server), sentAt, endedAt }))
-    const news = { crashes: crashes.filter(crash => this.#ledger.crashed(crash, now)), sound: [], limits: [], probes: [] }
+    counters.serverCrashes.inc(tries.length)
+    const crashes = tries.map(({ fingerprint, server, sentAt, endedAt }) => ({ fingerprint, server: incarnationOf(server), sentAt, endedAt }))
+    const news = { crashes: crashes.filter(crash => this.#ledger.recordCrash(crash, now)), sound: [], limits: [], probes: [] }
     exchange.tell(news)
     this.#note(news, 'own try')
   }
@@ -133,7 +133,7 @@
   /** What a side process passes on. */
   take (frame: FrameOf<'crashes'>, from: string): void {
     const held = frame.sound.map(([fingerprint]) => fingerprint).filter(fingerprint => this.quarantine(fingerprint) !== undefined)
-    this.#note(takeCrashes(this.#ledger, frame), from)
+    this.#note(recordCrashes(this.#ledger, frame), from)
     this.#released(held, from)
   }
 
@@ -144,10 +144,10 @@
 
   /** All that is known, to a side process that was joined: it may have started anew. */
   greet (side: Channel): void {
-    greetWith(this.#ledger, side)
+    sendKnownCrashes(this.#ledger, side)
   }
 
-  #note ({ crashes }: Pick<TryNews, 'crashes'>, from: string): void {
+  #note ({ crashes }: Pick<AttemptReports, 'crashes'>, from: string): void {
     const { counters, log, quarantined } = this.options
     let any = false
     for (const fingerprint of new Set(crashes.map(crash => crash.fingerprint))) {
--- a/packages/fleet/src/entry/identity.ts
+++ b/packages/fleet/src/entry/credential.ts
@@ -7,7 +7,7 @@
 import type { IncomingMessage } from 'node:http'
 import type { HeaderNames } from '../ports.js'
 import { hashKey, type KeyHash } from '../team.js'
-import { headerPairs } from './delivery.js'
+import { headerPairs } from './caller-response.js'
 
 /** `invalid`: the header is there, but is malformed or ambiguous. */
 export type Credential = { type: 'none' } | { type: 'invalid' } | { type: 'key', hash: KeyHash }
--- a/packages/fleet/src/entry/earned-tokens.ts
+++ b/packages/fleet/src/entry/earned-tokens.ts
@@ -4,17 +4,17 @@
  * Each entry earns an equal share, by the most entries that may exist. A token is earned once, moves with its age and lapses, so
  * nothing has to be agreed on: a lost message loses tokens, and an entry out of touch still has its share.
  */
-import { TokenStock, earnedPerSecond, tokenLifeMs, type QuotaBound, type QuotaRate, type TokenSlice } from '@finchpitch/decisions'
-import { elapsedMs, sleptMs } from '../clock.js'
+import { ExpiringTokens, earnedPerSecond, tokenLifetimeMs, type QuotaBound, type QuotaRate, type TokenSlice } from '@finchpitch/decisions'
+import { boottimeMs, suspendedMs } from '../clock.js'
 
 /** Earned tokens are dated in steps, each as old as its start. */
 const earnStepMs = 100
 
 export class EarnedTokens {
-  readonly #stock = new TokenStock()
+  readonly #stock = new ExpiringTokens()
   #rate: QuotaRate
-  #earnedAt = elapsedMs()
-  #sleptMs = sleptMs()
+  #earnedAt = boottimeMs()
+  #sleptMs = suspendedMs()
 
   /** `entries`: the most that may exist. */
   constructor (rate: QuotaRate, private readonly bound: () => QuotaBound, private readonly entries: () => number) {
@@ -55,16 +55,16 @@
 
   /** How long a token may be spent. */
   get lifeMs (): number {
-    return tokenLifeMs(this.#rate, this.bound())
+    return tokenLifetimeMs(this.#rate, this.bound())
   }
 
   /** Tokens that were earned earlier have lapsed. */
   get since (): number {
-    return elapsedMs() - this.lifeMs
+    return boottimeMs() - this.lifeMs
   }
 
   earn (): void {
-    const now = elapsedMs()
+    const now = boottimeMs()
     this.#skipSleep(now)
     const perMs = this.ownRate / 1000
     let from = Math.max(this.#earnedAt, this.since)
@@ -78,7 +78,7 @@
 
   /** A time of day that was set ahead looks like a sleep of the machine, and would earn the same tokens twice. */
   #skipSleep (now: number): void {
-    const slept = sleptMs()
+    const slept = suspendedMs()
     if (slept > this.#sleptMs) this.#earnedAt = now
     this.#sleptMs = slept
   }
--- a/packages/fleet/src/entry/entry-count.ts
+++ b/packages/fleet/src/entry/entry-count.ts
@@ -4,7 +4,7 @@
  * The number divides the fixed part of the retry budget, so it is rather too high than too low: right after a start only
  * one's own domain has told, and a fifth of all entries would each take five times their part.
  */
-import { watchersOf } from '../side/watchers.js'
+import { watcherCount } from '../side/watchers.js'
 
 export interface DomainEntries {
   domain: string
@@ -18,7 +18,7 @@
 export const countEntries = (told: readonly DomainEntries[]): number | undefined => sumOfDomains(told, entries => entries)
 
 /** How many of them watch the store. */
-export const countWatchers = (told: readonly DomainEntries[]): number | undefined => sumOfDomains(told, watchersOf)
+export const countWatchers = (told: readonly DomainEntries[]): number | undefined => sumOfDomains(told, watcherCount)
 
 /** A domain that has not told counts as the largest that has. */
 const sumOfDomains = (told: readonly DomainEntries[], part: (entries: number) => number): number | undefined => {
--- a/packages/fleet/src/entry/entry.ts
+++ b/packages/fleet/src/entry/entry.ts
@@ -9,36 +9,36 @@
 import { backoff, pause, type Log } from '@finchpitch/core'
 import { Channel, type ChannelOptions } from '@finchpitch/wire'
 import { nowMs } from '../clock.js'
-import { FactLink, patienceMs } from '../fact-exchange.js'
+import { FactLink, forwardDelayMs } from '../fact-exchange.js'
 import type { Fact } from '../fact.js'
 import type { Facts } from '../facts.js'
-import { gatherMs, reserveMs } from '../follow.js'
+import { watchPauseMs, fallbackRetentionMs } from '../fact-watch.js'
 import type { FactSource, HeaderNames, Limits } from '../ports.js'
-import { Turn } from '../turn.js'
+import { DutySwitch } from '../duty-switch.js'
 import { Balancer } from './balancer.js'
 import { CallerConnections } from './caller-connections.js'
-import { ConnectLimit } from './connect-limit.js'
+import { ConnectTimeout } from './connect-timeout.js'
 import { TryNewsExchange } from './try-news-exchange.js'
 import { Crashes } from './crashes.js'
 import { EntryCounters } from './counters.js'
-import { FirstTries } from './first-tries.js'
+import { FirstAttemptEstimator } from './first-attempt-estimator.js'
 import { KeyLease } from './key-lease.js'
 import { EntryCeiling } from './entry-ceiling.js'
 import { LeaseKeeper } from './lease-keeper.js'
-import { outageRetryMs } from './own-answers.js'
+import { outageRetryAfterMs } from './local-replies.js'
 import { ProbeExchange } from './probe-exchange.js'
 import { QuotaExchange } from './quota-exchange.js'
 import { Quotas } from './quotas.js'
 import { RetryBudget } from './retry-budget.js'
-import { ServerEnds } from './server-ends.js'
+import { ServerLiveness } from './server-liveness.js'
 import { ServerFaults } from './server-faults.js'
 import { ServerLimits } from './server-limits.js'
-import { ServerWords } from './server-words.js'
+import { ServerFeedbackHandler } from './server-feedback-handler.js'
 import { ServiceRequest } from './service-request.js'
 import { SideLinks } from './side-links.js'
 import { StoreWatch } from './store-watch.js'
 import { TableConfirmation } from './table-confirmation.js'
-import { WaitingRoom } from './waiting-room.js'
+import { RequestQueue } from './request-queue.js'
 
 /** How often it looks at what lapses, at its duty and at how many entries there are. */
 const sweepMs = 200
@@ -79,11 +79,11 @@
   readonly #balancer: Balancer
   readonly #links: SideLinks
   readonly #watch: StoreWatch
-  readonly #room = new WaitingRoom()
+  readonly #room = new RequestQueue()
   readonly #connections: CallerConnections
   readonly #budget: RetryBudget
-  readonly #connects = new ConnectLimit()
-  readonly #firstTries = new FirstTries()
+  readonly #connects = new ConnectTimeout()
+  readonly #firstTries = new FirstAttemptEstimator()
   readonly #lease: KeyLease
   readonly #leaseKeeper: LeaseKeeper
   readonly #confirmation: TableConfirmation
@@ -93,10 +93,10 @@
   readonly #quotas: Quotas
   readonly #quotaExchange: QuotaExchange
   /** Other entries are needed to learn from. */
-  readonly #seedTurn = new Turn()
+  readonly #seedTurn = new DutySwitch()
   readonly #faults: ServerFaults
   readonly #serverLimits: ServerLimits
-  readonly #words: ServerWords
+  readonly #words: ServerFeedbackHandler
   readonly #crashes: Crashes
   readonly #tryNews: TryNewsExchange
   readonly #probes: ProbeExchange
@@ -117,7 +117,7 @@
       exchange: this.#tryNews,
       exchanged: async () => await this.#quotaExchange.exchanged(),
       waiting: service => this.#room.limitedAhead(service, Infinity),
-      changed: () => this.#room.poke(),
+      changed: () => this.#room.scheduleScan(),
       counters: this.counters,
       log
     })
@@ -133,7 +133,7 @@
       log,
       watching: () => this.#watch.watching,
       prove: () => this.#watch.prove(),
-      changed: keys => this.#room.poke(keys),
+      changed: keys => this.#room.scheduleScan(keys),
       granted: (host, channel, frame) => this.#quotaExchange.take(host, channel, frame),
       crashes: (frame, from) => {
         this.#crashes.take(frame, from)
@@ -162,17 +162,17 @@
     this.#quotaExchange = new QuotaExchange({ quotas: this.#quotas, serverLimits: this.#serverLimits, hosts: () => this.#links.hosts, channelTo: host => this.#links.channelTo(host), log })
     this.#leaseKeeper = new LeaseKeeper({ lease: this.#lease, facts, links: this.#links, watch: this.#watch, log })
     this.#confirmation = new TableConfirmation({ facts, limits, links: this.#links, watch: this.#watch })
-    this.#words = new ServerWords({ facts, balancer: this.#balancer, room: this.#room, serverLimits: this.#serverLimits })
+    this.#words = new ServerFeedbackHandler({ facts, balancer: this.#balancer, queue: this.#room, serverLimits: this.#serverLimits })
     this.#faults = new ServerFaults(this.#balancer, this.counters, log)
     this.#probes = new ProbeExchange({ hosts: () => this.#links.hosts, channelTo: host => this.#links.channelTo(host), log })
-    this.#crashes = new Crashes({ facts, ends: new ServerEnds(), exchange: this.#tryNews, askProbe: async fingerprint => await this.#probes.ask(fingerprint), quarantined: () => this.#room.poke(), counters: this.counters, log })
+    this.#crashes = new Crashes({ facts, ends: new ServerLiveness(), exchange: this.#tryNews, askProbe: async fingerprint => await this.#probes.ask(fingerprint), quarantined: () => this.#room.scheduleScan(), counters: this.counters, log })
     this.#budget = new RetryBudget(limits, () => this.#links.entries)
     this.server = createServer({ maxHeaderSize: mostHeaderBytes, connectionsCheckingInterval: 1000, requestTimeout: 0 })
     this.#connections = new CallerConnections(this.server)
     this.server.on('request', (request, response) => { void this.#serve(request, response) })
     this.counters.gauge('finchpitch_requests_running', 'Requests in progress.', () => this.#running)
     this.counters.gauge('finchpitch_requests_waiting', 'Requests waiting at the entry.', () => this.#room.size)
-    this.counters.gauge('finchpitch_servers_resting', 'Backend servers that have asked this entry for rest.', () => this.#balancer.resting)
+    this.counters.gauge('finchpitch_servers_resting', 'Backend servers that have asked this entry for rest.', () => this.#balancer.serversInBackoff)
     this.counters.gauge('finchpitch_servers_limited', 'Backend servers that name how many requests they take.', () => this.#serverLimits.size)
     this.counters.gauge('finchpitch_side_processes_connected', 'Side processes connected.', () => this.#links.connected)
     this.counters.gauge('finchpitch_store_watched', 'Whether this entry watches the platform\'s store.', () => Number(this.#watch.watching))
@@ -182,7 +182,7 @@
     facts.onChange(fact => {
       if (fact.kind === 'server') this.#reconcile()
       if (fact.kind === 'table') this.#applyTable()
-      this.#room.poke()
+      this.#room.scheduleScan()
     })
   }
 
@@ -192,7 +192,7 @@
 
   /** How long a server whose entry vanished stays in reserve. */
   get reserveMs (): number {
-    return reserveMs(this.#restMs('server'), this.options.limits().drainMs)
+    return fallbackRetentionMs(this.#restMs('server'), this.options.limits().drainMs)
   }
 
   /** Why it should not be sent callers; `undefined` when it should. */
@@ -243,7 +243,7 @@
     this.#running += 1
     try {
       const served = new ServiceRequest({
-        facts, balancer: this.#balancer, room: this.#room, budget: this.#budget, faults: this.#faults, serverLimits: this.#serverLimits, words: this.#words, crashes: this.#crashes, connects: this.#connects, lease: this.#lease, quotas: this.#quotas, confirmation: this.#confirmation, unconfirmedRetryMs: () => this.#leaseKeeper.retryMs, firstTries: this.#firstTries, names, counters: this.counters, log, closed: this.#closed, learned: () => this.#learned(), blindRetryMs: () => this.#blindRetryMs, lastAnswer: () => this.#closing || !this.#lease.held || this.#connections.isOld(request.socket)
+        facts, balancer: this.#balancer, room: this.#room, budget: this.#budget, faults: this.#faults, serverLimits: this.#serverLimits, words: this.#words, crashes: this.#crashes, connects: this.#connects, lease: this.#lease, quotas: this.#quotas, confirmation: this.#confirmation, staleTableRetryMs: () => this.#leaseKeeper.retryMs, firstAttempts: this.#firstTries, names, counters: this.counters, log, stopping: this.#closed, tableLoaded: () => this.#learned(), noTableRetryMs: () => this.#blindRetryMs, closeAfterResponse: () => this.#closing || !this.#lease.held || this.#connections.shouldClose(request.socket)
       }, request, response)
       await served.serve()
     } catch (error) {
@@ -255,7 +255,7 @@
   }
 
   #restMs (kind: Fact['kind']): number {
-    return gatherMs(kind, this.#links.watchers ?? 1, this.options.limits().drainMs)
+    return watchPauseMs(kind, this.#links.watchers ?? 1, this.options.limits().drainMs)
   }
 
   /**
@@ -276,14 +276,14 @@
 
   /** Soon while it is only starting; later once neither the store nor a peer had the table in the time that takes. */
   get #blindRetryMs (): number {
-    return nowMs() - this.#startedAt < learningMs ? learningMs : outageRetryMs
+    return nowMs() - this.#startedAt < learningMs ? learningMs : outageRetryAfterMs
   }
 
   #reconcile (): void {
     const { facts } = this.options
     const engines = [...facts.servers.values()].filter(server => facts.routes?.service(server.service)?.engine !== undefined)
     for (const server of facts.servers.values()) this.#balancer.state(server)
-    this.#balancer.states.keep(facts.servers)
+    this.#balancer.states.prune(facts.servers)
     this.#links.reconcile(engines)
   }
 
@@ -306,7 +306,7 @@
       this.#balancer.expire()
       this.#leaseKeeper.check()
       this.#watch.check()
-      this.#seedTurn.set(this.#needsSeeds)
+      this.#seedTurn.setActive(this.#needsSeeds)
       const { entries } = this.#links
       this.#mostEntries = this.#ceiling.of(entries, this.options.facts.servers.size)
       this.#noteEntries(entries ?? 0)
@@ -316,7 +316,7 @@
   #noteEntries (entries: number): void {
     const before = this.#connections.entries
     if (entries === before) return
-    this.#connections.noteEntries(entries)
+    this.#connections.setEntryCount(entries)
     this.options.log.info('entries.counted', { entries, before })
   }
 
@@ -331,7 +331,7 @@
     const { signal } = this.#stop
     if (seed === ownPeerAddress) return
     for (let failures = 1; !signal.aborted; failures++) {
-      await this.#seedTurn.begun(signal)
+      await this.#seedTurn.whenActive(signal)
       if (signal.aborted) return
       try {
         await this.#exchange(await dial(seed), () => this.#needsSeeds)
@@ -345,7 +345,7 @@
 
   /** Nobody near says who watches the store, or not everything was read yet. */
   get #needsSeeds (): boolean {
-    return !this.options.facts.read || this.#links.appointments.length === 0
+    return !this.options.facts.hasSynced || this.#links.appointments.length === 0
   }
 
   /** Until the channel ends, or is no longer `needed`. */
@@ -353,14 +353,14 @@
     const { facts, log } = this.options
     const channel = new Channel(stream, this.options.channel)
     const check = setInterval(() => { if (!needed()) channel.close() }, seedCheckMs)
-    const link = new FactLink(facts, channel, patienceMs.entry, log)
+    const link = new FactLink(facts, channel, forwardDelayMs.entry, log)
     void channel.greeted.then(welcome => {
       if (!welcome) return
-      link.start(patienceMs.newcomer)
+      link.start(forwardDelayMs.newcomer)
       log.info('peer.joined', { peer: channel.peer.process })
     })
     for await (const frame of channel.frames()) {
-      link.take(frame)
+      link.handleFrame(frame)
     }
     clearInterval(check)
     link.stop()
--- a/packages/fleet/src/entry/event-stream.ts
+++ b/packages/fleet/src/entry/event-stream.ts
@@ -7,17 +7,17 @@
 
 const eventTerminator = Buffer.from('\n\n')
 
-export class EventCutter {
+export class EventFramer {
   #partial: Buffer = Buffer.alloc(0)
   #lastId: string | undefined
 
   /** Id of the last complete event. */
-  get lastId (): string | undefined {
+  get lastEventId (): string | undefined {
     return this.#lastId
   }
 
   /** Buffered bytes of an incomplete event. */
-  get rest (): Buffer {
+  get partial (): Buffer {
     return this.#partial
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** Discards a partial event before the stream is resumed at another server. */
-  drop (): void {
+  discardPartial (): void {
     this.#partial = Buffer.alloc(0)
   }
 }
--- a/packages/fleet/src/entry/first-tries.ts
+++ b/packages/fleet/src/entry/first-attempt-estimator.ts
@@ -22,7 +22,7 @@
   total: number
 }
 
-export class FirstTries {
+export class FirstAttemptEstimator {
   readonly #routes = new Map<string, RouteSamples>()
 
   /** Estimated time since the first attempt of a caller that has `remainingMs` left; 0 for a first attempt, or where it can't be estimated. */
--- a/packages/fleet/src/entry/incoming.ts
+++ b/packages/fleet/src/entry/incoming-request.ts
@@ -14,9 +14,9 @@
 const maxPromptTokens = 10_000_000
 
 /** Why the body could not be read: it exceeds the limit, or the caller disconnected. */
-export type BodyFault = 'too_large' | 'caller_left'
+export type BodyError = 'too_large' | 'caller_left'
 
-export class Incoming {
+export class IncomingRequest {
   readonly id: string
   readonly host: string
   readonly path: string
@@ -40,12 +40,12 @@
   }
 
   /** The model key is too long for any engine. */
-  get impossible (): boolean {
+  get hasInvalidModel (): boolean {
     return this.model !== undefined && this.model.length > longestAdapterKey
   }
 
   /** Reads the body, of at most `limit` bytes. */
-  body (limit: number): Promise<Result<Buffer, BodyFault>> {
+  body (limit: number): Promise<Result<Buffer, BodyError>> {
     const { message } = this
     const chunks: Buffer[] = []
     let size = 0
--- a/packages/fleet/src/entry/key-lease.ts
+++ b/packages/fleet/src/entry/key-lease.ts
@@ -29,11 +29,11 @@
     return !this.#olderThan('lease')
   }
 
-  get askDue (): boolean {
+  get proofDue (): boolean {
     return this.#olderThan('ask')
   }
 
-  get askFarDue (): boolean {
+  get remoteProofDue (): boolean {
     return this.#olderThan('askRemote')
   }
 
@@ -42,7 +42,7 @@
   }
 
   get #needed (): boolean {
-    return this.facts.routes?.keyed === true
+    return this.facts.routes?.requiresKey === true
   }
 
   #olderThan (share: keyof typeof shares): boolean {
--- a/packages/fleet/src/entry/lease-keeper.ts
+++ b/packages/fleet/src/entry/lease-keeper.ts
@@ -5,7 +5,7 @@
 import { nowMs } from '../clock.js'
 import type { Facts } from '../facts.js'
 import type { KeyLease } from './key-lease.js'
-import { outageRetryMs } from './own-answers.js'
+import { outageRetryAfterMs } from './local-replies.js'
 import type { SideLinks } from './side-links.js'
 import type { StoreWatch } from './store-watch.js'
 
@@ -33,7 +33,7 @@
 
   /** When callers should come back that were turned away for want of a proof. */
   get retryMs (): number {
-    return this.options.links.outage ? outageRetryMs : elsewhereRetryMs
+    return this.options.links.outage ? outageRetryAfterMs : elsewhereRetryMs
   }
 
   /** Called several times a second. */
@@ -46,10 +46,10 @@
   #ask (): void {
     const { lease, links, watch } = this.options
     const now = nowMs()
-    if (!lease.askDue || now - this.#askedAt < (lease.held ? askMs : lapsedAskMs)) return
+    if (!lease.proofDue || now - this.#askedAt < (lease.held ? askMs : lapsedAskMs)) return
     this.#askedAt = now
     void watch.prove()
-    if (!watch.watching || lease.askFarDue) links.askFresh(lease.askFarDue)
+    if (!watch.watching || lease.remoteProofDue) links.askFresh(lease.remoteProofDue)
   }
 
   #tell (): void {
--- a/packages/fleet/src/entry/limit-account.ts
+++ b/packages/fleet/src/entry/limit-account.ts
@@ -6,7 +6,7 @@
  * whatever is not wanted here goes to the others at once, and what comes back are whole requests.
  */
 import { DecayingSum, type QuotaBound, type TokenSlice } from '@finchpitch/decisions'
-import { elapsedMs } from '../clock.js'
+import { boottimeMs } from '../clock.js'
 import { EarnedTokens } from './earned-tokens.js'
 
 /** What a server may get: in any such time one and a half times what its limit allows, and 5 requests. */
@@ -40,7 +40,7 @@
 
   /** A request would go there. */
   demand (): void {
-    this.#demand.add(1, elapsedMs())
+    this.#demand.add(1, boottimeMs())
   }
 
   /** Whole requests that may be sent now. */
@@ -51,7 +51,7 @@
 
   /** Whether it is of use to ask others now. */
   get askable (): boolean {
-    return this.#shortAt === undefined || elapsedMs() - this.#shortAt >= shortMs
+    return this.#shortAt === undefined || boottimeMs() - this.#shortAt >= shortMs
   }
 
   /** One request waits for `exchanged`, which it is counted in. */
@@ -85,7 +85,7 @@
   /** Others gave `slices` of the `asked` whole requests. */
   granted (slices: readonly TokenSlice[], asked: number): void {
     this.give(slices)
-    const now = elapsedMs()
+    const now = boottimeMs()
     const came = slices.reduce((sum, { tokens }) => sum + tokens, 0)
     this.#granted.add(came, now)
     this.#shortAt = came + rounding < asked ? now : undefined
@@ -114,4 +114,4 @@
 }
 
 /** Requests a second. */
-const rateOf = (sum: DecayingSum): number => sum.at(elapsedMs()) * Math.LN2 / demandHalfLifeMs * 1000
+const rateOf = (sum: DecayingSum): number => sum.at(boottimeMs()) * Math.LN2 / demandHalfLifeMs * 1000
--- a/packages/fleet/src/entry/own-answers.ts
+++ b/packages/fleet/src/entry/local-replies.ts
@@ -4,18 +4,18 @@
  * 429 and 503: the request has certainly not run; `Retry-After` says when to retry. 502 and 504: it may have run. 400, 401,
  * 404 and 413: retrying is useless.
  */
-import type { QuarantineCase } from '@finchpitch/decisions'
+import type { Quarantine } from '@finchpitch/decisions'
 import type { HeaderNames } from '../ports.js'
-import type { Delivery } from './delivery.js'
-import { isFinalDenial, type Denial } from './gate.js'
-import type { Incoming } from './incoming.js'
+import type { CallerResponse } from './caller-response.js'
+import { isFinalDenial, type Denial } from './admission.js'
+import type { IncomingRequest } from './incoming-request.js'
 import type { RequestRecord } from './request-record.js'
 
 /** The shortest `Retry-After`; a server may state a longer one. By then an adapter may be loaded or a running request finished. */
 const minRetryAfterMs = 250
 
 /** An outage of the platform's store lasts seconds; a caller that retries sooner is refused again. */
-export const outageRetryMs = 2000
+export const outageRetryAfterMs = 2000
 
 /** By then most probes have shown whether the request still terminates its server. */
 const probeRetryMs = 2000
@@ -30,22 +30,22 @@
   too_large: 'the body is too large'
 }
 
-export interface OwnAnswersOptions {
-  incoming: Incoming
-  delivery: Delivery
+export interface LocalRepliesOptions {
+  incoming: IncomingRequest
+  delivery: CallerResponse
   record: RequestRecord
   names: HeaderNames
   /** `Retry-After` while the table can't be proven fresh. */
-  unconfirmedRetryMs: () => number
+  staleTableRetryMs: () => number
 }
 
-export class OwnAnswers {
+export class LocalReplies {
   #retryAfterMs = minRetryAfterMs
 
-  constructor (private readonly options: OwnAnswersOptions) {}
+  constructor (private readonly options: LocalRepliesOptions) {}
 
   /** Raises `Retry-After` to at least `ms`. */
-  notBefore (ms: number): void {
+  raiseRetryAfter (ms: number): void {
     this.#retryAfterMs = Math.max(this.#retryAfterMs, ms)
   }
 
@@ -62,13 +62,13 @@
   }
 
   /** Servers terminated while running it. It is refused until enough of those terminations are too old to count. */
-  quarantined ({ servers, leftMs }: QuarantineCase): string {
+  quarantined ({ servers, leftMs }: Quarantine): string {
     this.#rejectNotRun(503, `quarantined: ${servers.join(', ')} ended under it`, 'not run: servers ended under this request', Math.round(leftMs))
     return 'quarantined'
   }
 
   /** Its quarantine has expired, and another entry is probing whether it still terminates its server. */
-  probedElsewhere (): string {
+  awaitProbe (): string {
     this.#rejectNotRun(503, 'quarantined: run elsewhere to see whether servers still end under it', 'not run: servers ended under this request', probeRetryMs)
     return 'quarantined'
   }
@@ -77,14 +77,14 @@
   fail (status: 502 | 504, reason: string): string {
     const { record, delivery } = this.options
     record.reason = reason
-    delivery.own(status, {}, `may have run: ${reason}`)
+    delivery.sendLocalReply(status, {}, `may have run: ${reason}`)
     return 'failed'
   }
 
   deny ({ reason }: Denial): string {
     if (isFinalDenial(reason)) return this.end(reason)
     // Another entry may have a fresher table; during an outage of the store none does.
-    this.notBefore(this.options.unconfirmedRetryMs())
+    this.raiseRetryAfter(this.options.staleTableRetryMs())
     return this.refuse(reason)
   }
 
@@ -92,7 +92,7 @@
   end (reason: FinalReason): string {
     const { incoming, delivery } = this.options
     incoming.message.resume()
-    delivery.own(finalStatuses[reason], {}, finalMessages[reason])
+    delivery.sendLocalReply(finalStatuses[reason], {}, finalMessages[reason])
     return reason
   }
 
@@ -101,6 +101,6 @@
     // Drains the body: unread bytes would precede the next request on this connection.
     incoming.message.resume()
     record.reason = reason
-    delivery.own(status, { [names.retryAfter]: String(retryAfterMs / 1000) }, message)
+    delivery.sendLocalReply(status, { [names.retryAfter]: String(retryAfterMs / 1000) }, message)
   }
 }
--- a/packages/fleet/src/entry/meeting-place.ts
+++ b/packages/fleet/src/entry/meeting-place.ts
@@ -4,8 +4,8 @@
  * One that does not answer is passed by for a while. Where entries differ for a moment, they meet at two, and no promise depends
  * on it.
  */
-import { affinityOf, hashOf } from '@finchpitch/decisions'
-import { lowest } from '../lowest.js'
+import { rendezvousScore, hashOf } from '@finchpitch/decisions'
+import { minBy } from '../min-by.js'
 
 export interface MeetingPlaceOptions {
   /** What they meet for; another matter has another place. */
@@ -33,6 +33,6 @@
   choose (hosts: readonly string[]): string | undefined {
     const now = this.options.now()
     for (const [host, until] of this.#passedBy) if (now > until) this.#passedBy.delete(host)
-    return lowest(hosts.filter(host => !this.#passedBy.has(host)), host => affinityOf(this.#hash, hashOf(host)))
+    return minBy(hosts.filter(host => !this.#passedBy.has(host)), host => rendezvousScore(this.#hash, hashOf(host)))
   }
 }
--- a/packages/fleet/src/entry/news-sources.ts
+++ b/packages/fleet/src/entry/news-sources.ts
@@ -6,10 +6,10 @@
  * once and passes them on. All entries of a domain choose the same one by rendezvous hashing; where they differ for a
  * moment, the news cross twice, and no promise depends on it. An entry with no side process near follows engines itself.
  */
-import { affinityOf, hashOf } from '@finchpitch/decisions'
+import { rendezvousScore, hashOf } from '@finchpitch/decisions'
 import type { Log } from '@finchpitch/core'
 import { nowMs } from '../clock.js'
-import { lowest } from '../lowest.js'
+import { minBy } from '../min-by.js'
 
 export interface NewsHosts {
   /** Hosts of engines in the entry's own failure domain whose side processes answer. */
@@ -28,7 +28,7 @@
 /** The side process near that serves `key`: the same for all that know the same ones. */
 export const relayOf = (key: string, near: readonly string[]): string | undefined => {
   const hash = hashOf(key)
-  return lowest(near, host => affinityOf(hash, hashOf(host)))
+  return minBy(near, host => rendezvousScore(hash, hashOf(host)))
 }
 
 /** With no side process near for this long, an entry follows engines elsewhere itself. All processes of a domain are back sooner after a power loss. */
--- a/packages/fleet/src/entry/outgoing.ts
+++ b/packages/fleet/src/entry/outgoing-request.ts
@@ -4,13 +4,13 @@
  */
 import type { IncomingMessage } from 'node:http'
 import type { HeaderNames } from '../ports.js'
-import type { Outgoing } from './attempt.js'
-import { passedHeaders } from './delivery.js'
+import type { OutgoingRequest } from './attempt.js'
+import { forwardedHeaders } from './caller-response.js'
 
 /** The values of the headers that the system sets. */
-export interface Marks {
+export interface OutgoingContext {
   /** Milliseconds until the deadline. */
-  remaining: number
+  remainingMs: number
   /** Id of the server that is meant. */
   server: string
   /** Set for requests to engines. */
@@ -20,18 +20,18 @@
   /** The table has teams, so neither the caller's key nor a team header that it set itself is forwarded. */
   keyed: boolean
   /** Id of the last event that the caller has received, where a stream is resumed at another server. */
-  resumeAt: string | undefined
+  resumeAfter: string | undefined
 }
 
-export const outgoingOf = (request: IncomingMessage, body: Buffer, names: HeaderNames, marks: Marks): Outgoing => {
-  const headers = passedHeaders(request.rawHeaders, removedHeaders(names, marks))
-  headers.push(names.remainingMs, String(marks.remaining), names.expectedServer, marks.server)
+export const buildOutgoingRequest = (request: IncomingMessage, body: Buffer, names: HeaderNames, marks: OutgoingContext): OutgoingRequest => {
+  const headers = forwardedHeaders(request.rawHeaders, removedHeaders(names, marks))
+  headers.push(names.remainingMs, String(marks.remainingMs), names.expectedServer, marks.server)
   if (marks.engine !== undefined) {
     headers.push(names.priority, String(marks.engine.rank))
     if (marks.engine.version !== undefined) headers.push(names.expectedVersion, String(marks.engine.version))
   }
   if (marks.team !== undefined) headers.push(names.team, marks.team)
-  if (marks.resumeAt !== undefined) headers.push(names.lastEventId, marks.resumeAt)
+  if (marks.resumeAfter !== undefined) headers.push(names.lastEventId, marks.resumeAfter)
   const { 'content-length': length, 'transfer-encoding': encoding } = request.headers
   if (body.length > 0 || length !== undefined || encoding !== undefined) headers.push('Content-Length', String(body.length))
   return { method: request.method ?? 'GET', path: request.url ?? '/', headers, body }
@@ -41,7 +41,7 @@
 const removedHeaderSets = new Map<string, ReadonlySet<string>>()
 
 /** Names of the headers that are not forwarded; computed once per combination and not per request. */
-const removedHeaders = (names: HeaderNames, { resumeAt, keyed }: Marks): ReadonlySet<string> => {
+const removedHeaders = (names: HeaderNames, { resumeAfter: resumeAt, keyed }: OutgoingContext): ReadonlySet<string> => {
   const id = `${keyed} ${resumeAt !== undefined}`
   const known = removedHeaderSets.get(id)
   if (known !== undefined) return known
--- a/packages/fleet/src/entry/reading-pace.ts
+++ b/packages/fleet/src/entry/prefill-rate.ts
@@ -17,7 +17,7 @@
 /** Demand changes within seconds, and the rate with it. */
 const halfLifeMs = 4000
 
-export class ReadingPace {
+export class PrefillRate {
   readonly #ms = new DecayingSum(halfLifeMs)
   readonly #tokens = new DecayingSum(halfLifeMs)
 
--- a/packages/fleet/src/entry/probe-exchange.ts
+++ b/packages/fleet/src/entry/probe-exchange.ts
@@ -6,7 +6,7 @@
  */
 import { pause, type Log, type RequestFingerprint } from '@finchpitch/core'
 import type { Channel } from '@finchpitch/wire'
-import { nowMs, socketsRead } from '../clock.js'
+import { nowMs, afterSocketReads } from '../clock.js'
 import { MeetingPlace } from './meeting-place.js'
 
 /** Side processes answer within some ms, across domains too. */
@@ -49,7 +49,7 @@
     this.#asked.set(stamp, ask)
     channel.send({ type: 'crashes', stamp, crashes: [], sound: [], ask: fingerprint })
     await pause(answerMs, ask.answered.signal)
-    if (!ask.answered.signal.aborted) await socketsRead()
+    if (!ask.answered.signal.aborted) await afterSocketReads()
     this.#asked.delete(stamp)
     if (!ask.answered.signal.aborted) this.#passBy(host)
     return ask.granted
--- a/packages/fleet/src/entry/quota-exchange.ts
+++ b/packages/fleet/src/entry/quota-exchange.ts
@@ -6,10 +6,10 @@
  * the next side process is asked; meanwhile each entry lives on its share.
  */
 import { setMaxListeners } from 'node:events'
-import { ageOf, tokensIn, type TokenSlice } from '@finchpitch/decisions'
+import { sliceAgeMs, totalTokens, type TokenSlice } from '@finchpitch/decisions'
 import { pause, type Log } from '@finchpitch/core'
 import type { Channel, FrameOf, TokenAge } from '@finchpitch/wire'
-import { elapsedMs, socketsRead } from '../clock.js'
+import { boottimeMs, afterSocketReads } from '../clock.js'
 import { MeetingPlace } from './meeting-place.js'
 import type { Quotas, TeamAccount } from './quotas.js'
 import type { LimitsView } from './server-limits.js'
@@ -50,7 +50,7 @@
 
 export class QuotaExchange {
   #bank: string | undefined
-  readonly #meeting = new MeetingPlace({ matter: 'quota', passedByMs, now: elapsedMs })
+  readonly #meeting = new MeetingPlace({ matter: 'quota', passedByMs, now: boottimeMs })
   /** By channel, since a side process that starts again has another clock. */
   readonly #echoes = new WeakMap<Channel, Echo>()
   readonly #short = new Map<string, number>()
@@ -91,12 +91,12 @@
     if (this.#sentAt === undefined) this.#send()
     if (this.#sentAt === undefined) return false
     await pause(bringMs, signal)
-    if (!signal.aborted) await socketsRead()
+    if (!signal.aborted) await afterSocketReads()
     return signal.aborted
   }
 
   take (host: string, channel: Channel, frame: FrameOf<'quota_grant'>): void {
-    const now = elapsedMs()
+    const now = boottimeMs()
     this.#echoes.set(channel, { stamp: frame.bankStamp, cameAt: now })
     const granted = slicesOf(frame.grants, frame.stamp, now)
     const servers = slicesOf(frame.servers ?? [], frame.stamp, now)
@@ -106,25 +106,25 @@
     this.#askedServers = new Map()
     this.#needed = new Set(frame.needed)
     this.#sentAt = undefined
-    for (const [team, wanted] of this.#urged) if (tokensIn(granted.get(team) ?? []) < wanted * metShare) this.#short.set(team, now)
+    for (const [team, wanted] of this.#urged) if (totalTokens(granted.get(team) ?? []) < wanted * metShare) this.#short.set(team, now)
     this.#urged.clear()
     this.#answered.abort()
     if (this.#due) this.#send()
   }
 
   #isShort (team: string): boolean {
-    return elapsedMs() - (this.#short.get(team) ?? -Infinity) < shortMs
+    return boottimeMs() - (this.#short.get(team) ?? -Infinity) < shortMs
   }
 
   async #tick (): Promise<void> {
     if (this.options.quotas.accounts.size === 0 && this.options.serverLimits.none) return
-    if (this.#overdue) await socketsRead()
+    if (this.#overdue) await afterSocketReads()
     if (this.#overdue) this.#passBy()
     if (this.#sentAt === undefined) this.#send()
   }
 
   get #overdue (): boolean {
-    return this.#sentAt !== undefined && elapsedMs() - this.#sentAt >= answerMs
+    return this.#sentAt !== undefined && boottimeMs() - this.#sentAt >= answerMs
   }
 
   #passBy (): void {
@@ -152,7 +152,7 @@
   }
 
   #frame (channel: Channel): FrameOf<'quota'> {
-    const now = elapsedMs()
+    const now = boottimeMs()
     const echo = this.#echoes.get(channel)
     const gives: TokenAge[] = []
     const wants: Array<[string, number]> = []
@@ -168,7 +168,7 @@
     if (echo !== undefined) {
       idle.sort(([a], [b]) => Number(this.#needed.has(b)) - Number(this.#needed.has(a)))
       for (const [team, account] of idle.slice(0, mostGiven)) {
-        for (const slice of account.takeSurplus()) gives.push([team, slice.tokens, ageOf(slice, now)])
+        for (const slice of account.takeSurplus()) gives.push([team, slice.tokens, sliceAgeMs(slice, now)])
       }
     }
     return { type: 'quota', stamp: now, ...(echo === undefined ? {} : { echo: { stamp: echo.stamp, heldMs: now - echo.cameAt } }), gives, wants, ...this.#serversPart(echo !== undefined) }
--- a/packages/fleet/src/entry/quotas.ts
+++ b/packages/fleet/src/entry/quotas.ts
@@ -5,8 +5,8 @@
  * a team one part in 26 of its quota. So each entry earns an equal share of every quota, by the most entries that may exist,
  * and what it does not need goes to a side process that hands it to entries that do (`quota-exchange.ts`).
  */
-import { DecayingSum, tokensIn, type TokenSlice } from '@finchpitch/decisions'
-import { elapsedMs } from '../clock.js'
+import { DecayingSum, totalTokens, type TokenSlice } from '@finchpitch/decisions'
+import { boottimeMs } from '../clock.js'
 import { quotaBoundOf, type Limits } from '../ports.js'
 import type { FleetTeam, Quota } from '../team.js'
 import { EarnedTokens } from './earned-tokens.js'
@@ -66,7 +66,7 @@
 
   /** A request asks for so many. */
   demand (tokens: number): void {
-    this.#demand.add(tokens, elapsedMs())
+    this.#demand.add(tokens, boottimeMs())
     this.#usualSize += (tokens - this.#usualSize) * sizeWeight
   }
 
@@ -80,7 +80,7 @@
 
   granted (slices: readonly TokenSlice[]): void {
     this.give(slices)
-    for (const { tokens } of slices) this.#granted.add(tokens, elapsedMs())
+    for (const { tokens } of slices) this.#granted.add(tokens, boottimeMs())
   }
 
   /** Whether what was set aside may still be spent. */
@@ -121,7 +121,7 @@
 }
 
 /** Tokens a second. */
-const rateOf = (sum: DecayingSum): number => sum.at(elapsedMs()) * Math.LN2 / demandHalfLifeMs * 1000
+const rateOf = (sum: DecayingSum): number => sum.at(boottimeMs()) * Math.LN2 / demandHalfLifeMs * 1000
 
 export interface QuotasOptions {
   limits: () => Limits
@@ -174,7 +174,7 @@
       reservation.spent = true
       return true
     }
-    const fresh = account.take(tokensIn(reservation.slices))
+    const fresh = account.take(totalTokens(reservation.slices))
     if (fresh === undefined) return false
     account.give(reservation.slices)
     reservation.slices = fresh
--- a/packages/fleet/src/entry/request-admission.ts
+++ b/packages/fleet/src/entry/request-admission.ts
@@ -1,13 +1,13 @@
 /**
  * Admission of one request: its team, whether it may be sent now, and the quota that it costs.
  */
-import { elapsedMs, nowMs } from '../clock.js'
+import { boottimeMs, nowMs } from '../clock.js'
 import type { Facts } from '../facts.js'
 import type { HeaderNames } from '../ports.js'
 import type { RouteIndex } from '../table.js'
-import { admit, isFinalDenial, type Admitted, type Denial } from './gate.js'
-import { credentialOf, type Credential } from './identity.js'
-import type { Incoming } from './incoming.js'
+import { admit, isFinalDenial, type Admission, type Denial } from './admission.js'
+import { credentialOf, type Credential } from './credential.js'
+import type { IncomingRequest } from './incoming-request.js'
 import type { KeyLease } from './key-lease.js'
 import type { Quotas, Reservation } from './quotas.js'
 import type { TableConfirmation } from './table-confirmation.js'
@@ -31,15 +31,15 @@
   /** Parsed once, and only where the table has teams. */
   #credential: Credential | undefined
   #reservation: Reservation | undefined
-  readonly #arrivedAt = elapsedMs()
+  readonly #arrivedAt = boottimeMs()
 
-  constructor (private readonly options: RequestAdmissionOptions, private readonly incoming: Incoming) {}
+  constructor (private readonly options: RequestAdmissionOptions, private readonly incoming: IncomingRequest) {}
 
   /**
    * Called on arrival and before each attempt, since routes and keys may be removed while the request waits. A missing route or
    * key may have been added meanwhile, so a denial is final only if the table is proven current.
    */
-  async admit (): Promise<Admitted | Denial> {
+  async admit (): Promise<Admission | Denial> {
     const { facts, confirmation } = this.options
     const waitUntil = nowMs() + Math.min(maxProofWaitMs, this.incoming.remainingMs * maxProofWaitShare)
     for (;;) {
@@ -52,7 +52,7 @@
   }
 
   /** Reserves the quota that the request costs, once. If it isn't available, returns the estimated milliseconds until it is. */
-  async reserve ({ team }: Admitted): Promise<number | undefined> {
+  async reserve ({ team }: Admission): Promise<number | undefined> {
     const { quotas } = this.options
     const known = this.#reservation
     if (team?.quota === undefined || known?.spent === true) return undefined
@@ -65,18 +65,18 @@
   }
 
   /** Spends the reservation just before the request is written. Returns whether it may be sent. */
-  spend ({ team }: Admitted): boolean {
+  spend ({ team }: Admission): boolean {
     const { lease, quotas } = this.options
     if (team !== undefined && !lease.held) return false
     return this.#reservation === undefined || quotas.spend(this.#reservation)
   }
 
-  #check (routes: RouteIndex | undefined): Admitted | Denial {
+  #check (routes: RouteIndex | undefined): Admission | Denial {
     const { names, lease } = this.options
     const { host, path, message } = this.incoming
     if (routes === undefined) return { type: 'denied', reason: 'table_not_confirmed', route: undefined }
-    if (routes.keyed) this.#credential ??= credentialOf(message, names)
-    return admit(routes, { host, path, credential: this.#credential ?? noCredential, confirmed: lease.held })
+    if (routes.requiresKey) this.#credential ??= credentialOf(message, names)
+    return admit(routes, { host, path, credential: this.#credential ?? noCredential, tableConfirmed: lease.held })
   }
 
   /** Releases an unspent reservation. */
--- a/packages/fleet/src/entry/request-crashes.ts
+++ b/packages/fleet/src/entry/request-crashes.ts
@@ -2,12 +2,12 @@
  * The crash history of one request, looked up by its fingerprint, which depends on the body and on the team that it is admitted for.
  */
 import type { RequestFingerprint } from '@finchpitch/core'
-import type { QuarantineCase } from '@finchpitch/decisions'
+import type { Quarantine } from '@finchpitch/decisions'
 import type { BackendServer } from '../server.js'
 import type { FleetTeam } from '../team.js'
 import type { Crashes } from './crashes.js'
 import { fingerprintOf } from './fingerprint.js'
-import type { Incoming } from './incoming.js'
+import type { IncomingRequest } from './incoming-request.js'
 
 const emptyBuffer = Buffer.alloc(0)
 
@@ -19,10 +19,10 @@
   /** Cached per team, which may change with the table while the request waits. */
   #cached: { team: string | undefined, fingerprint: RequestFingerprint } | undefined
 
-  constructor (private readonly crashes: Crashes, private readonly incoming: Incoming) {}
+  constructor (private readonly crashes: Crashes, private readonly incoming: IncomingRequest) {}
 
   /** Set while the request may be sent to no server, because servers terminated while running it. */
-  quarantine (team: FleetTeam | undefined): QuarantineCase | undefined {
+  quarantine (team: FleetTeam | undefined): Quarantine | undefined {
     return this.crashes.none ? undefined : this.crashes.quarantine(this.#fingerprint(team))
   }
 
@@ -42,7 +42,7 @@
   }
 
   /** The request ran to completion, so it doesn't terminate servers. */
-  endedWell (team: FleetTeam | undefined): void {
+  completed (team: FleetTeam | undefined): void {
     if (!this.crashes.none) this.crashes.endedWell(this.#fingerprint(team))
   }
 
--- a/packages/fleet/src/entry/waiting-room.ts
+++ b/packages/fleet/src/entry/request-queue.ts
@@ -9,7 +9,7 @@
 import type { Cancellation } from './cancellation.js'
 import type { Choice } from './choice.js'
 
-export interface Waiter {
+export interface QueuedRequest {
   /** Requests with the same key get the same choice. */
   key: string
   /** The service that it is routed to. */
@@ -17,22 +17,22 @@
   /** Current rank; the lowest goes first. */
   rank: () => number
   /** When it stops waiting, on the monotonic clock. */
-  until: number
+  expiresAt: number
   choose: () => Choice
   /** Whether waiting for this can still help; if not, the wait ends at once. */
   mayWaitFor: (choice: Choice) => boolean
   /** Whether it has been quarantined since it was queued: it may not be sent to any server. */
-  hopeless: () => boolean
+  isQuarantined: () => boolean
   /** Asks an engine to load the key; `waiting`: how many requests wait for it. */
-  bring: (ask: string, waiting: number) => void
+  requestLoad: (ask: string, waiting: number) => void
 }
 
-export type WaitEnd = { type: 'chosen', choice: Extract<Choice, { type: 'send' }> } | { type: 'expired', last: Choice } | { type: 'left' } | { type: 'hopeless' }
+export type WaitOutcome = { type: 'chosen', choice: Extract<Choice, { type: 'send' }> } | { type: 'expired', last: Choice } | { type: 'left' } | { type: 'hopeless' }
 
-interface QueueEntry extends Waiter {
+interface QueueEntry extends QueuedRequest {
   queuedAt: number
   last: Choice
-  end: (end: WaitEnd) => void
+  end: (end: WaitOutcome) => void
 }
 
 /** Delay of a scan after a change: changes come in bursts, and one scan covers them all. */
@@ -43,10 +43,10 @@
 const fullSweepEvery = 4
 
 /** The choice for a request that is queued behind `ahead` others. */
-export const behind = (choice: Choice, ahead: number): Choice =>
+export const queuedBehind = (choice: Choice, ahead: number): Choice =>
   choice.type === 'limited' && ahead > 0 ? { ...choice, readyInMs: choice.readyInMs + ahead * choice.everyMs } : choice
 
-export class WaitingRoom {
+export class RequestQueue {
   readonly #entries = new Set<QueueEntry>()
   #scanTimer: NodeJS.Timeout | undefined
   /** Runs while the queue is not empty. */
@@ -73,9 +73,9 @@
     return count
   }
 
-  wait (waiter: Waiter, first: Choice, cancellation: Cancellation): Promise<WaitEnd> {
+  wait (waiter: QueuedRequest, first: Choice, cancellation: Cancellation): Promise<WaitOutcome> {
     return new Promise(resolve => {
-      const timer = setTimeout(() => entry.end({ type: 'expired', last: entry.last }), Math.max(0, waiter.until - nowMs()))
+      const timer = setTimeout(() => entry.end({ type: 'expired', last: entry.last }), Math.max(0, waiter.expiresAt - nowMs()))
       const cancel = (): void => entry.end({ type: 'left' })
       const entry: QueueEntry = {
         ...waiter,
@@ -98,7 +98,7 @@
   }
 
   /** Schedules a scan after a change that may let queued requests go on: those for `keys`, or all. */
-  poke (keys?: readonly string[]): void {
+  scheduleScan (keys?: readonly string[]): void {
     if (this.#entries.size === 0) return
     if (keys === undefined) this.#dirtyKeys = undefined
     for (const key of keys ?? []) this.#dirtyKeys?.add(key)
@@ -106,16 +106,16 @@
   }
 
   /** Capacity became free: schedules a scan of the requests that wait for it. */
-  pokeFull (): void {
+  scheduleCapacityScan (): void {
     const keys = new Set<string>()
     for (const { last, key } of this.#entries) if (last.type === 'full' || last.type === 'resting' || last.type === 'limited' || (last.type === 'bring' && last.held)) keys.add(key)
-    if (keys.size > 0) this.poke([...keys])
+    if (keys.size > 0) this.scheduleScan([...keys])
   }
 
   #runSweep (): void {
     this.#sweepCount += 1
-    if (this.#sweepCount % fullSweepEvery === 0) this.poke()
-    else this.pokeFull()
+    if (this.#sweepCount % fullSweepEvery === 0) this.scheduleScan()
+    else this.scheduleCapacityScan()
   }
 
   #stopSweep (): void {
@@ -134,14 +134,14 @@
     /** Requests scanned so far that wait for rate-limited servers, by service. */
     const limitedByService = new Map<string, number>()
     for (const { entry } of ordered) {
-      if (entry.hopeless()) {
+      if (entry.isQuarantined()) {
         entry.end({ type: 'hopeless' })
         continue
       }
       const known = blocked.get(entry.key)
       const ahead = limitedByService.get(entry.service) ?? 0
       const unqueued = known ?? entry.choose()
-      const choice = behind(unqueued, ahead)
+      const choice = queuedBehind(unqueued, ahead)
       entry.last = choice
       if (!entry.mayWaitFor(choice)) {
         entry.end({ type: 'expired', last: choice })
@@ -159,6 +159,6 @@
   }
 
   #requestLoad (choice: Choice, entry: QueueEntry): void {
-    if (choice.type === 'bring' && choice.ask !== undefined) entry.bring(choice.ask, this.waiting(entry.key))
+    if (choice.type === 'bring' && choice.ask !== undefined) entry.requestLoad(choice.ask, this.waiting(entry.key))
   }
 }
--- a/packages/fleet/src/entry/request-record.ts
+++ b/packages/fleet/src/entry/request-record.ts
@@ -6,9 +6,9 @@
 import type { BackendServer } from '../server.js'
 import type { Route } from '../table.js'
 import type { EntryCounters } from './counters.js'
-import type { Incoming } from './incoming.js'
+import type { IncomingRequest } from './incoming-request.js'
 import type { RequestTimes } from './request-times.js'
-import type { Holding } from './server-state.js'
+import type { EngineReport } from './server-state.js'
 
 /** Longer paths are truncated in the log. */
 const maxLoggedPathLength = 200
@@ -23,7 +23,7 @@
   /** Time since the table was last proven fresh; not finite where it never was. */
   tableAgeMs: number
   /** What the entry knows of the server that the request was last sent to. */
-  holding: Holding | undefined
+  holding: EngineReport | undefined
 }
 
 export class RequestRecord {
@@ -46,10 +46,10 @@
   /** From arrival to the first byte of a response. */
   firstByteMs: number | undefined
 
-  constructor (private readonly incoming: Incoming, private readonly times: RequestTimes) {}
+  constructor (private readonly incoming: IncomingRequest, private readonly times: RequestTimes) {}
 
   /** Writes the log line and counts the request. */
-  tell (outcome: string, log: Log, counters: EntryCounters, { table, tableAgeMs, holding }: RecordContext): void {
+  write (outcome: string, log: Log, counters: EntryCounters, { table, tableAgeMs, holding }: RecordContext): void {
     const { incoming, times, route, server } = this
     this.#updateMetrics(outcome, counters)
     log.info('request.ended', {
--- a/packages/fleet/src/entry/request-times.ts
+++ b/packages/fleet/src/entry/request-times.ts
@@ -3,10 +3,10 @@
  */
 import { nowMs } from '../clock.js'
 import type { Route } from '../table.js'
-import { rankOf, type Urgency } from '../urgency.js'
+import { rankOf, type RankInput } from '../request-rank.js'
 
 /** The fraction of the time left that a request may wait; the remainder is for serving it, or for a retry by its caller. */
-export const waitShare = 0.45
+export const maxWaitShare = 0.45
 /** The fraction of the objective reserved for serving before the caller disconnects, so that nothing is started for a caller that will be gone. */
 const servingShare = 0.5
 /** The fraction of the objective that a request waits for servers that asked for backoff; if they ask for longer, it is refused at once. */
@@ -15,7 +15,7 @@
 const emptyServiceWaitShare = 0.2
 
 export class RequestTimes {
-  readonly arrived = nowMs()
+  readonly arrivedAt = nowMs()
   /** On the monotonic clock. */
   deadline = Infinity
   /** How long before this request its caller made its first attempt. */
@@ -23,7 +23,7 @@
 
   /** Time since arrival. */
   get ms (): number {
-    return nowMs() - this.arrived
+    return nowMs() - this.arrivedAt
   }
 
   get leftMs (): number {
@@ -31,29 +31,29 @@
   }
 
   /** Time left to meet the latency objective; `Infinity` once it is missed, as speed gains nothing any more. */
-  inTimeMs ({ objectiveMs }: Route): number {
+  timeToObjectiveMs ({ objectiveMs }: Route): number {
     const left = objectiveMs - this.#elapsedMs
     return left > 0 ? left : Infinity
   }
 
   /** Its rank among waiting requests. `readingMs`: the prefill time of its prompt on an idle engine. */
-  rank ({ priority, objectiveMs }: Pick<Urgency, 'priority' | 'objectiveMs'>, readingMs: number): number {
-    return rankOf({ priority, objectiveMs, elapsedMs: this.#elapsedMs, readingMs })
+  rank ({ priority, objectiveMs }: Pick<RankInput, 'priority' | 'objectiveMs'>, readingMs: number): number {
+    return rankOf({ priority, objectiveMs, elapsedMs: this.#elapsedMs, prefillMs: readingMs })
   }
 
   /** Until when it may wait for a server or an adapter, which leaves time for the first token before the caller gives up. */
   waitUntil ({ objectiveMs, patienceMs = Infinity }: Route): number {
-    const callerLeavesAt = this.arrived + patienceMs - objectiveMs * servingShare
-    return Math.min(nowMs() + this.leftMs * waitShare, callerLeavesAt)
+    const callerLeavesAt = this.arrivedAt + patienceMs - objectiveMs * servingShare
+    return Math.min(nowMs() + this.leftMs * maxWaitShare, callerLeavesAt)
   }
 
   /** Until when it may wait for a server that asked for backoff: the other half of the objective remains for serving. */
-  waitForRestUntil (route: Route): number {
+  waitForBackoffUntil (route: Route): number {
     return Math.min(this.waitUntil(route), nowMs() + route.objectiveMs * backoffWaitShare)
   }
 
   /** Until when it may wait for a service that has no servers. */
-  waitForAnybodyUntil ({ objectiveMs }: Route): number {
+  waitForServersUntil ({ objectiveMs }: Route): number {
     return nowMs() + objectiveMs * emptyServiceWaitShare
   }
 
--- a/packages/fleet/src/entry/retry-budget.ts
+++ b/packages/fleet/src/entry/retry-budget.ts
@@ -19,15 +19,15 @@
   constructor (private readonly limits: () => Limits, private readonly entries: () => number | undefined) {}
 
   /** Counts a first try, which adds to the budget. */
-  first (service: string): void {
-    this.#window(service).first(nowMs(), this.limits().retryWindowMs)
+  deposit (service: string): void {
+    this.#window(service).recordFirstAttempt(nowMs(), this.limits().retryWindowMs)
   }
 
   /** Spends one retry from the budget; `false` if none is left. */
-  repeat (service: string): boolean {
+  tryWithdraw (service: string): boolean {
     const { retryRatio, retrySlack, retryWindowMs } = this.limits()
     const slack = retrySlack * safetyFactor / Math.max(1, this.entries() ?? assumedEntries)
-    return this.#window(service).repeat(nowMs(), { ratio: retryRatio * safetyFactor, slack, windowMs: retryWindowMs })
+    return this.#window(service).tryRetry(nowMs(), { ratio: retryRatio * safetyFactor, slack, windowMs: retryWindowMs })
   }
 
   #window (service: string): RetryWindow {
--- a/packages/fleet/src/entry/connections.ts
+++ b/packages/fleet/src/entry/server-agent.ts
@@ -53,4 +53,4 @@
   }
 }
 
-export const serverAgent = (maxSockets: number): Agent => new KeepAliveAgent({ maxSockets, maxFreeSockets: maxSockets })
+export const createServerAgent = (maxSockets: number): Agent => new KeepAliveAgent({ maxSockets, maxFreeSockets: maxSockets })
--- a/packages/fleet/src/entry/server-faults.ts
+++ b/packages/fleet/src/entry/server-faults.ts
@@ -27,7 +27,7 @@
   /** The server ran the request, or may have, and failed. */
   failed (server: BackendServer, request: string, detail: string): void {
     this.log.info('server.failed', { request, server: server.id, detail })
-    if (this.balancer.state(server).outlier.failed(nowMs())) this.#recordEjection('server.ejected', server, request, detail)
+    if (this.balancer.state(server).outlier.recordFailure(nowMs())) this.#recordEjection('server.ejected', server, request, detail)
   }
 
   /** No connection to the server could be established. */
@@ -48,17 +48,17 @@
     },
     // The engine itself is healthy and may be asked to load the adapter again.
     not_held: (server, key) => {
-      if (key !== undefined) this.balancer.notHeld(server, key)
+      if (key !== undefined) this.balancer.recordNotHeld(server, key)
       return key === undefined
     },
     full: server => {
-      this.balancer.state(server).refusedOne()
+      this.balancer.state(server).recordRefusal()
       return true
     }
   }
 
   #recordEjection (event: string, server: BackendServer, request: string, detail: string): void {
-    const { until } = this.balancer.state(server).outlier
+    const { ejectedUntil: until } = this.balancer.state(server).outlier
     this.counters.ejections.inc()
     this.log.warn(event, { server: server.id, request, detail, ms: Math.round(until - nowMs()) })
   }
--- a/packages/fleet/src/entry/server-words.ts
+++ b/packages/fleet/src/entry/server-feedback-handler.ts
@@ -10,18 +10,18 @@
 import type { Balancer } from './balancer.js'
 import type { ServerLimits } from './server-limits.js'
 import type { ServerState } from './server-state.js'
-import type { ServerWord } from './server-word.js'
-import type { WaitingRoom } from './waiting-room.js'
+import type { ServerFeedback } from './server-feedback.js'
+import type { RequestQueue } from './request-queue.js'
 
-export interface ServerWordsOptions {
+export interface ServerFeedbackHandlerOptions {
   facts: Facts
   balancer: Balancer
-  room: WaitingRoom
+  queue: RequestQueue
   serverLimits: ServerLimits
 }
 
 /** The answer that the feedback came with. */
-export interface Spoken {
+export interface FeedbackSource {
   server: BackendServer
   /** State of the incarnation that the request was sent to. */
   state: ServerState
@@ -31,16 +31,16 @@
   sentAt: number
 }
 
-export class ServerWords {
-  constructor (private readonly options: ServerWordsOptions) {}
+export class ServerFeedbackHandler {
+  constructor (private readonly options: ServerFeedbackHandlerOptions) {}
 
-  take ({ leaving, restMs, limitPerSecond }: ServerWord, { server, state, request, sentAt }: Spoken): void {
-    const { facts, balancer, room, serverLimits } = this.options
+  handle ({ leaving, backoffMs: restMs, limitPerSecond }: ServerFeedback, { server, state, request, sentAt }: FeedbackSource): void {
+    const { facts, balancer, queue: room, serverLimits } = this.options
     serverLimits.heard(server, limitPerSecond, sentAt, request)
-    if (leaving) facts.noteLeaving(server, `answer to ${request}`)
-    if (restMs === undefined) return state.rest.answered(nowMs())
-    balancer.rest(server, state, restMs, request)
+    if (leaving) facts.markDraining(server, `answer to ${request}`)
+    if (restMs === undefined) return state.backoff.recordAnswer(nowMs())
+    balancer.backOff(server, state, restMs, request)
     // Requests that wait for this server may go elsewhere.
-    room.poke()
+    room.scheduleScan()
   }
 }
--- a/packages/fleet/src/entry/server-word.ts
+++ b/packages/fleet/src/entry/server-feedback.ts
@@ -5,15 +5,15 @@
  * request.
  */
 import type { IncomingMessage } from 'node:http'
-import { longestRestMs } from '@finchpitch/decisions'
+import { maxBackoffMs } from '@finchpitch/decisions'
 import type { HeaderNames } from '../ports.js'
 import { headerOf } from './header.js'
 
-export interface ServerWord {
+export interface ServerFeedback {
   /** The server is leaving and wants no new requests. */
   leaving: boolean
   /** How long it wants no requests from this process; `undefined` if it asks for no backoff. */
-  restMs: number | undefined
+  backoffMs: number | undefined
   /**
    * Requests per second that it accepts from all entries together, valid until it says otherwise: `Infinity` if it advertises no
    * limit, `undefined` if the header is malformed and therefore ignored.
@@ -24,21 +24,21 @@
 /** Value of the header that says a server is leaving. */
 const leavingValue = '1'
 /** Status with which a server that asks for backoff rejects the request. */
-export const turnedAway = 503
+export const overloadedStatus = 503
 
 /** `undefined` if another server than `serverId` answered, as its headers say nothing about this one. */
-export const serverWordOf = (answer: IncomingMessage, names: HeaderNames, serverId: string): ServerWord | undefined => {
+export const readServerFeedback = (answer: IncomingMessage, names: HeaderNames, serverId: string): ServerFeedback | undefined => {
   const responder = headerOf(answer, names.serverId)
   if (responder !== undefined && responder !== serverId) return undefined
-  return { leaving: headerOf(answer, names.leaving)?.trim() === leavingValue, restMs: parseBackoff(answer, names), limitPerSecond: parseLimit(answer, names) }
+  return { leaving: headerOf(answer, names.leaving)?.trim() === leavingValue, backoffMs: parseBackoff(answer, names), limitPerSecond: parseLimit(answer, names) }
 }
 
 /** Seconds, fractions allowed. Anything else asks for no backoff; values above `longestRestMs` are capped. */
 const parseBackoff = (answer: IncomingMessage, names: HeaderNames): number | undefined => {
-  if (answer.statusCode !== turnedAway) return undefined
+  if (answer.statusCode !== overloadedStatus) return undefined
   const text = headerOf(answer, names.retryAfter)?.trim() ?? ''
   const ms = text === '' ? NaN : Number(text) * 1000
-  return ms > 0 ? Math.min(ms, longestRestMs) : undefined
+  return ms > 0 ? Math.min(ms, maxBackoffMs) : undefined
 }
 
 /** A decimal number, including 0. */
--- a/packages/fleet/src/entry/server-limits.ts
+++ b/packages/fleet/src/entry/server-limits.ts
@@ -6,11 +6,11 @@
  * are counted in the moment in which they are written. Each entry earns its share; what it does not need goes to those that do.
  */
 import type { Log } from '@finchpitch/core'
-import { LimitLedger, ageOf, type LimitWord, type TokenSlice } from '@finchpitch/decisions'
+import { AdvertisedLimits, sliceAgeMs, type AdvertisedLimit, type TokenSlice } from '@finchpitch/decisions'
 import { mostLimits, type Channel, type FrameOf, type RequestAge, type RequestWant } from '@finchpitch/wire'
-import { elapsedMs, nowMs } from '../clock.js'
-import { greetWithLimits, takeLimits } from '../try-news.js'
-import { lifeOf, limitNameOf } from '../server-life.js'
+import { boottimeMs, nowMs } from '../clock.js'
+import { sendKnownLimits, limitsFromFrame } from '../attempt-reports.js'
+import { incarnationOf, limitKeyOf } from '../incarnation.js'
 import type { BackendServer } from '../server.js'
 import type { EntryCounters } from './counters.js'
 import type { TryNewsExchange } from './try-news-exchange.js'
@@ -67,7 +67,7 @@
 }
 
 export class ServerLimits {
-  readonly #ledger = new LimitLedger()
+  readonly #ledger = new AdvertisedLimits()
   readonly #limited = new Map<string, Limited>()
 
   constructor (private readonly options: ServerLimitsOptions) {}
@@ -84,13 +84,13 @@
   /** What an answer of the server said of its limit. `sentAt`: of its request, on the steady clock. */
   heard (server: BackendServer, perSecond: number | undefined, sentAt: number, request: string): void {
     if (perSecond === undefined || (perSecond === Infinity && this.none)) return
-    const word = { server: lifeOf(server), perSecond, sentAt, heardAt: nowMs() }
+    const word = { server: incarnationOf(server), perSecond, sentAt, heardAt: nowMs() }
     if (this.#note(word, ownAnswer, request)) this.options.exchange.tell({ crashes: [], sound: [], limits: [word], probes: [] })
   }
 
   /** What a side process passes on. */
   take (frame: FrameOf<'crashes'>, from: string): void {
-    for (const word of takeLimits(frame)) this.#note(word, from)
+    for (const word of limitsFromFrame(frame)) this.#note(word, from)
   }
 
   /** Where the server's limit stands; `undefined` where it names none. */
@@ -110,7 +110,7 @@
     account?.demand()
     if (account !== undefined && account.ready === 0 && account.askable) await account.asking(this.options.exchanged)
     const ready = this.state(server)?.ready !== false
-    if (!ready) this.options.counters.heldBack.inc()
+    if (!ready) this.options.counters.rateLimited.inc()
     return ready
   }
 
@@ -124,7 +124,7 @@
       limited.quietUntil = this.#nextAsked()
       return { type: 'asking' }
     }
-    this.options.counters.heldBack.inc()
+    this.options.counters.rateLimited.inc()
     return undefined
   }
 
@@ -135,14 +135,14 @@
 
   /** What is given to other entries where anything may be, and asked of them. */
   offers (giving: boolean): { gives: RequestAge[], wants: RequestWant[] } {
-    const now = elapsedMs()
+    const now = boottimeMs()
     const gives: RequestAge[] = []
     const wants: RequestWant[] = []
     for (const { name, service, account } of this.#limited.values()) {
       const waiting = this.#waitingFor(service)
       const wanted = account.wants(waiting)
       if (wanted > 0 && wants.length < mostLimits) wants.push([name, wanted, account.lifeMs])
-      for (const slice of giving ? account.takeSurplus(waiting) : []) gives.push([name, slice.tokens, ageOf(slice, now)])
+      for (const slice of giving ? account.takeSurplus(waiting) : []) gives.push([name, slice.tokens, sliceAgeMs(slice, now)])
     }
     return { gives, wants }
   }
@@ -161,21 +161,21 @@
     if (this.#ledger.size === 0) return
     const now = nowMs()
     this.#ledger.expire(now)
-    const lives = new Set(Array.from(listed, lifeOf))
+    const lives = new Set(Array.from(listed, incarnationOf))
     for (const [life, limited] of this.#limited) {
       if (lives.has(life)) limited.listedAt = now
-      else if (now - limited.listedAt > unlistedMs) this.#ledger.forget(life)
+      else if (now - limited.listedAt > unlistedMs) this.#ledger.remove(life)
       if (this.#ledger.perSecond(life) === Infinity) this.#limited.delete(life)
     }
   }
 
   /** All limits that hold, to a side process that was joined: it may have started anew. */
   greet (side: Channel): void {
-    greetWithLimits(this.#ledger, side)
+    sendKnownLimits(this.#ledger, side)
   }
 
   #at (server: BackendServer): Limited | undefined {
-    const limited = this.none ? undefined : this.#limited.get(lifeOf(server))
+    const limited = this.none ? undefined : this.#limited.get(incarnationOf(server))
     if (limited !== undefined) limited.service = server.service
     return limited
   }
@@ -191,7 +191,7 @@
     return nowMs() + quietMs + Math.random() * this.options.entries() * quietPerEntryMs
   }
 
-  #note (word: LimitWord, from: string, request?: string): boolean {
+  #note (word: AdvertisedLimit, from: string, request?: string): boolean {
     const { server } = word
     const before = this.#ledger.perSecond(server)
     const holds = this.#ledger.note(word)
@@ -200,16 +200,16 @@
     return holds
   }
 
-  #begin ({ server, perSecond, heardAt }: LimitWord, source: { from: string, request: string | undefined, before: number | 'none' }): void {
+  #begin ({ server, perSecond, heardAt }: AdvertisedLimit, source: { from: string, request: string | undefined, before: number | 'none' }): void {
     const { entries, log, changed } = this.options
     log.info('server.limited', { server, perSecond: figureOf(perSecond), ...source, agoMs: Math.round(nowMs() - heardAt), entries: entries() })
     if (perSecond === Infinity) this.#limited.delete(server)
-    else this.#limited.set(server, { name: limitNameOf(server, perSecond), service: undefined, account: new LimitAccount(perSecond, entries), quietUntil: this.#nextAsked(), listedAt: nowMs() })
+    else this.#limited.set(server, { name: limitKeyOf(server, perSecond), service: undefined, account: new LimitAccount(perSecond, entries), quietUntil: this.#nextAsked(), listedAt: nowMs() })
     changed()
   }
 
   /** Nothing changed by the word: it says the same again, or is not surely newer than the figure that holds. Then one request finds out. */
-  #heardAgain ({ server, perSecond }: LimitWord, before: number): void {
+  #heardAgain ({ server, perSecond }: AdvertisedLimit, before: number): void {
     const limited = this.#limited.get(server)
     if (limited !== undefined) limited.quietUntil = perSecond > before ? nowMs() : this.#nextAsked()
   }
--- a/packages/fleet/src/entry/server-ends.ts
+++ b/packages/fleet/src/entry/server-liveness.ts
@@ -23,7 +23,7 @@
   socket.on('error', (error: NodeJS.ErrnoException) => finish(error.code === 'ECONNREFUSED'))
 })
 
-export class ServerEnds {
+export class ServerLiveness {
   readonly #probes = new Map<string, Promise<boolean>>()
 
   constructor (private readonly probe: (address: string) => Promise<boolean> = refusesConnections) {}
--- a/packages/fleet/src/entry/server-state.ts
+++ b/packages/fleet/src/entry/server-state.ts
@@ -2,10 +2,10 @@
  * What an entry knows of one backend server from its own requests, and of an engine also from the reports of its side process.
  */
 import type { Agent } from 'node:http'
-import { Outlier, Rest, hashOf, type OutlierLimits } from '@finchpitch/decisions'
+import { OutlierDetector, ServerBackoff, hashOf, type OutlierLimits } from '@finchpitch/decisions'
 import { nowMs } from '../clock.js'
-import { serverAgent } from './connections.js'
-import { ReadingPace } from './reading-pace.js'
+import { createServerAgent } from './server-agent.js'
+import { PrefillRate } from './prefill-rate.js'
 
 /** Three failures in a row, or a failure rate of 0.4 over some ten requests, are far above what healthy servers show (0.14). */
 const outlierLimits: OutlierLimits = { inRow: 3, share: 0.4, least: 8, firstMs: 600, limitMs: 4000 }
@@ -16,7 +16,7 @@
 const refusalMs = 250
 
 /** The last report of an engine by its side process. */
-export interface Holding {
+export interface EngineReport {
   /** When it arrived, on the monotonic clock. */
   at: number
   reachable: boolean
@@ -31,7 +31,7 @@
 }
 
 /** A request that is about to be sent. */
-export interface Start {
+export interface RequestStart {
   key: string | undefined
   /** How long the server may take to send its first byte before it counts as unresponsive. */
   patienceMs: number
@@ -41,7 +41,7 @@
 }
 
 /** A request in progress at a server. */
-export interface Pending {
+export interface PendingRequest {
   sentAt: number
   /** Prompt length in tokens, and the unprocessed prompt tokens that were ahead of it. */
   tokens: number
@@ -53,28 +53,28 @@
 
 export class ServerState {
   readonly agent: Agent
-  readonly outlier = new Outlier(outlierLimits)
-  readonly rest = new Rest()
-  readonly #pending = new Set<Pending>()
-  readonly #awaitingFirstByte = new Set<Pending>()
+  readonly outlier = new OutlierDetector(outlierLimits)
+  readonly backoff = new ServerBackoff()
+  readonly #pending = new Set<PendingRequest>()
+  readonly #awaitingFirstByte = new Set<PendingRequest>()
   readonly hash: number
   /** Requests in progress per adapter, and those started since the side process was last told. */
   readonly uses = new Map<string, { started: number, running: number }>()
-  holding: Holding | undefined
+  engineReport: EngineReport | undefined
   /** Requests sent since the last report. */
   #sentSinceReport = 0
   /** Prompt tokens of own requests that the server has not processed yet. */
   #ownUnread = 0
-  readonly #prefillRate = new ReadingPace()
+  readonly #prefillRate = new PrefillRate()
   /** Engines process the prompts of urgent requests first, so each priority has a prefill rate of its own. */
-  readonly #ratesByPriority = new Map<number, ReadingPace>()
+  readonly #ratesByPriority = new Map<number, PrefillRate>()
   #refusedLoad = 0
   #refusedUntil = -Infinity
 
   /** `usesChanged`: called when its adapter use changes, which its side process has to be told. */
   constructor (readonly id: string, maxConnections: number, private readonly usesChanged: (id: string) => void = () => {}, readonly bornAt?: number) {
     this.hash = hashOf(id)
-    this.agent = serverAgent(maxConnections)
+    this.agent = createServerAgent(maxConnections)
   }
 
   /** Applies the limit of the routing table, which may arrive after the server was registered. */
@@ -89,13 +89,13 @@
 
   /** Requests in progress or queued at the server, as reported and sent since; at least the own ones. */
   get load (): number {
-    const reported = this.holding === undefined ? 0 : this.holding.running + this.holding.waiting
+    const reported = this.engineReport === undefined ? 0 : this.engineReport.running + this.engineReport.waiting
     const refused = nowMs() < this.#refusedUntil ? this.#refusedLoad : 0
     return Math.max(this.#pending.size, reported + this.#sentSinceReport) + refused
   }
 
   /** Records that it refused a request because it is full. */
-  refusedOne (): void {
+  recordRefusal (): void {
     const now = nowMs()
     if (now >= this.#refusedUntil) this.#refusedLoad = 0
     this.#refusedLoad += refusalLoad
@@ -112,10 +112,10 @@
     return (this.#unreadTokensAt(now) + tokens) * this.#rateOf(priority).msPerToken(now)
   }
 
-  #rateOf (priority: number): ReadingPace {
+  #rateOf (priority: number): PrefillRate {
     const known = this.#ratesByPriority.get(priority)
     if (known !== undefined) return known
-    const pace = new ReadingPace()
+    const pace = new PrefillRate()
     this.#ratesByPriority.set(priority, pace)
     return pace
   }
@@ -125,12 +125,12 @@
    * last report.
    */
   #unreadTokensAt (now: number): number {
-    if (this.holding === undefined) return this.#ownUnread
-    const processedSince = (now - this.holding.at) / this.#prefillRate.msPerToken(now)
-    return this.#ownUnread + Math.max(0, this.holding.unread - processedSince)
+    if (this.engineReport === undefined) return this.#ownUnread
+    const processedSince = (now - this.engineReport.at) / this.#prefillRate.msPerToken(now)
+    return this.#ownUnread + Math.max(0, this.engineReport.unread - processedSince)
   }
 
-  begin ({ key, patienceMs, tokens, priority }: Start): Pending {
+  begin ({ key, patienceMs, tokens, priority }: RequestStart): PendingRequest {
     const now = nowMs()
     const pending = { sentAt: now, patienceMs, tokens, tokensAhead: this.#unreadTokensAt(now), priority }
     this.#ownUnread += tokens
@@ -148,7 +148,7 @@
   }
 
   /** Records that the first byte of the answer arrived. */
-  heard (pending: Pending): void {
+  recordFirstByte (pending: PendingRequest): void {
     if (!this.#awaitingFirstByte.delete(pending)) return
     this.#ownUnread -= pending.tokens
     const now = nowMs()
@@ -159,7 +159,7 @@
     this.#rateOf(pending.priority).add(now - pending.sentAt, tokens, now)
   }
 
-  end (key: string | undefined, pending: Pending): void {
+  end (key: string | undefined, pending: PendingRequest): void {
     this.#pending.delete(pending)
     if (this.#awaitingFirstByte.delete(pending)) this.#ownUnread -= pending.tokens
     this.#sentSinceReport = Math.max(0, this.#sentSinceReport - 1)
@@ -170,15 +170,15 @@
   }
 
   /** Whether a request has waited for its first byte for longer than its `patienceMs`. */
-  silentAt (now: number): boolean {
+  isUnresponsive (now: number): boolean {
     for (const pending of this.#awaitingFirstByte) {
       if (now - pending.sentAt > pending.patienceMs) return true
     }
     return false
   }
 
-  tell (holding: Holding): void {
-    this.holding = holding
+  applyReport (holding: EngineReport): void {
+    this.engineReport = holding
     this.#sentSinceReport = 0
     this.#refusedUntil = -Infinity
   }
--- a/packages/fleet/src/entry/server-states.ts
+++ b/packages/fleet/src/entry/server-states.ts
@@ -2,9 +2,9 @@
  * The states of all servers known to this entry: renewed when a server restarts, removed once it is gone.
  */
 import { nowMs } from '../clock.js'
-import { isFormer, type BackendServer } from '../server.js'
+import { isEarlierIncarnation, type BackendServer } from '../server.js'
 import { Holders } from './holders.js'
-import { ServerState, type Holding } from './server-state.js'
+import { ServerState, type EngineReport } from './server-state.js'
 
 /** Connection limit of a server whose service is not in the routing table yet; nothing is sent to it until then. */
 const unroutedMaxConnections = 1
@@ -20,9 +20,9 @@
    * The state of a server, created or renewed if need be. `maxConnections` is `undefined` while its service is not in the routing
    * table.
    */
-  of (server: BackendServer, maxConnections: number | undefined): ServerState {
+  getOrCreate (server: BackendServer, maxConnections: number | undefined): ServerState {
     const known = this.#states.get(server.id)
-    if (known === undefined || isFormer(known.bornAt, server.bornAt)) return this.#begin(server.id, maxConnections ?? unroutedMaxConnections, server.bornAt)
+    if (known === undefined || isEarlierIncarnation(known.bornAt, server.bornAt)) return this.#begin(server.id, maxConnections ?? unroutedMaxConnections, server.bornAt)
     if (maxConnections !== undefined) known.limitConnections(maxConnections)
     return known
   }
@@ -41,27 +41,27 @@
   }
 
   /** Applies a report by an engine's side process. `bornAt`: start of the incarnation it is about, which the store may not list yet. */
-  tell (id: string, holding: Holding, bornAt?: number): void {
+  applyReport (id: string, holding: EngineReport, bornAt?: number): void {
     const known = this.#states.get(id)
-    if (known === undefined || isFormer(bornAt, known.bornAt)) return
-    const state = isFormer(known.bornAt, bornAt) ? this.#begin(id, known.agent.maxSockets, bornAt) : known
-    state.tell(holding)
+    if (known === undefined || isEarlierIncarnation(bornAt, known.bornAt)) return
+    const state = isEarlierIncarnation(known.bornAt, bornAt) ? this.#begin(id, known.agent.maxSockets, bornAt) : known
+    state.applyReport(holding)
     this.holders.update(id, holding.held)
   }
 
   /** Replaces the keys that an engine holds; the rest of its last report stays. */
-  hold (id: string, held: ReadonlyMap<string, number>): void {
+  updateHeld (id: string, held: ReadonlyMap<string, number>): void {
     const state = this.#states.get(id)
-    if (state?.holding === undefined) return
-    state.holding = { ...state.holding, held }
+    if (state?.engineReport === undefined) return
+    state.engineReport = { ...state.engineReport, held }
     this.holders.update(id, held)
   }
 
   /** Removes servers that are gone, once their last request has ended. */
-  keep (present: ReadonlyMap<string, unknown>): void {
+  prune (present: ReadonlyMap<string, unknown>): void {
     for (const [id, state] of this.#states) {
       // A backoff lasts for the whole incarnation, even if the registration lapses and comes back.
-      if (present.has(id) || state.inFlight > 0 || state.rest.resting(nowMs())) continue
+      if (present.has(id) || state.inFlight > 0 || state.backoff.active(nowMs())) continue
       state.close()
       this.holders.update(id, undefined)
       this.#states.delete(id)
