--- a/packages/fleet/test/placement.test.ts
+++ b/packages/fleet/test/placement.test.ts
@@ -1,4 +1,4 @@
-import { place, type Demand, type EngineAccount, type EngineSpec, type PlacementInput } from '@finchpitch/fleet'
+import { decidePlacement, type Demand, type EngineStatus, type EngineSpec, type PlacementInput } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
 const spec: EngineSpec = {
@@ -9,48 +9,48 @@
   models: [{ name: 'm', memoryMb: 1000, adapterMemoryMb: 12 }]
 }
 
-const stateWith = (adapters: Record<string, number>, more: Partial<EngineAccount> = {}): EngineAccount => ({
+const stateWith = (adapters: Record<string, number>, more: Partial<EngineStatus> = {}): EngineStatus => ({
   models: [{ name: 'm', version: 1, adapters }], coming: [], busy: false, orders: 7, waiting: 0, running: 0, cacheUsed: 0, cacheTotal: 1000, ...more
 })
 
 const demand = (key: string): Demand => ({ key, waiting: 1, priority: 1, waitedMs: 1000 })
 
 const inputWith = (more: Partial<PlacementInput>): PlacementInput => ({
-  spec, account: stateWith({}), demands: [], newest: () => undefined, popularity: () => 0, uses: () => 0, mayLoad: () => true, ...more
+  spec, account: stateWith({}), demands: [], newestVersion: () => undefined, popularity: () => 0, uses: () => 0, canLoad: () => true, ...more
 })
 
 describe('placement', () => {
   describe('of models', () => {
     it('loads the first model of the service on an empty engine', () => {
-      const placement = place(inputWith({ account: stateWith({}, { models: [], orders: 0 }) }))
+      const placement = decidePlacement(inputWith({ account: stateWith({}, { models: [], orders: 0 }) }))
       expect(placement).to.deep.include({ type: 'order', order: { operation: 'load', model: 'm', version: undefined, expectedOrders: 0 } })
     })
 
     it('waits while a model is being loaded', () => {
-      expect(place(inputWith({ account: stateWith({}, { models: [], busy: true }) })).type).to.equal('nothing')
+      expect(decidePlacement(inputWith({ account: stateWith({}, { models: [], busy: true }) })).type).to.equal('nothing')
     })
 
     it('respects the rate limit of the weight store', () => {
-      expect(place(inputWith({ account: stateWith({}, { models: [] }), mayLoad: () => false })).type).to.equal('nothing')
+      expect(decidePlacement(inputWith({ account: stateWith({}, { models: [] }), canLoad: () => false })).type).to.equal('nothing')
     })
   })
 
   describe('of adapters', () => {
     it('loads a demanded adapter into a free slot, with the order count at the decision', () => {
-      const placement = place(inputWith({ demands: [demand('m/a')] }))
+      const placement = decidePlacement(inputWith({ demands: [demand('m/a')] }))
       expect(placement).to.deep.include({ type: 'order', order: { operation: 'load', model: 'm', adapter: 'a', version: undefined, expectedOrders: 7 } })
     })
 
     it('counts loads in progress as used slots', () => {
       const coming = [{ key: 'm/x', version: 1 }, { key: 'm/y', version: 1 }]
-      const placement = place(inputWith({ account: stateWith({ z: 1 }, { coming }), demands: [demand('m/a')] }))
+      const placement = decidePlacement(inputWith({ account: stateWith({ z: 1 }, { coming }), demands: [demand('m/a')] }))
       expect(placement).to.deep.include({ type: 'order', reason: 'makes room for m/a' })
       expect(placement).to.have.nested.property('order.operation', 'unload')
       expect(placement).to.have.nested.property('order.adapter', 'z')
     })
 
     it('evicts the least popular adapter that is not in use', () => {
-      const placement = place(inputWith({
+      const placement = decidePlacement(inputWith({
         account: stateWith({ x: 1, y: 1, z: 1 }),
         demands: [demand('m/a')],
         popularity: key => ({ 'm/x': 5, 'm/y': 1, 'm/z': 0 })[key] ?? 0,
@@ -60,24 +60,24 @@
     })
 
     it('declines while every slot is in use', () => {
-      const placement = place(inputWith({ account: stateWith({ x: 1, y: 1, z: 1 }), demands: [demand('m/a')], uses: () => 1 }))
+      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1, y: 1, z: 1 }), demands: [demand('m/a')], uses: () => 1 }))
       expect(placement).to.deep.equal({ type: 'declined', key: 'm/a', reason: 'no_place' })
     })
 
     it('waits a moment for a free slot before it declines', () => {
       const full = { account: stateWith({ a: 1, b: 1, c: 1 }), uses: () => 1 }
-      expect(place(inputWith({ ...full, demands: [{ ...demand('m/x'), waitedMs: 0 }] })).type).to.equal('nothing')
-      expect(place(inputWith({ ...full, demands: [{ ...demand('m/x'), waitedMs: 0 }, demand('m/y')] }))).to.include({ type: 'declined', key: 'm/y' })
+      expect(decidePlacement(inputWith({ ...full, demands: [{ ...demand('m/x'), waitedMs: 0 }] })).type).to.equal('nothing')
+      expect(decidePlacement(inputWith({ ...full, demands: [{ ...demand('m/x'), waitedMs: 0 }, demand('m/y')] }))).to.include({ type: 'declined', key: 'm/y' })
     })
 
     it('respects the memory limit in addition to the slots', () => {
       const tight = { ...spec, weightMemoryMb: 1020 }
-      const placement = place(inputWith({ spec: tight, account: stateWith({ x: 1 }), demands: [demand('m/a')] }))
+      const placement = decidePlacement(inputWith({ spec: tight, account: stateWith({ x: 1 }), demands: [demand('m/a')] }))
       expect(placement).to.have.nested.property('order.operation', 'unload')
     })
 
     it('declines an adapter of a model that is not loaded and can not be', () => {
-      const placement = place(inputWith({ demands: [demand('other/a')] }))
+      const placement = decidePlacement(inputWith({ demands: [demand('other/a')] }))
       expect(placement).to.deep.equal({ type: 'declined', key: 'other/a', reason: 'unknown_model' })
     })
   })
@@ -86,23 +86,23 @@
     const newest = (key: string): number | undefined => key === 'm/x' ? 2 : undefined
 
     it('replaces an adapter in use while a slot is free', () => {
-      const placement = place(inputWith({ account: stateWith({ x: 1 }), newest, uses: () => 1 }))
+      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1 }), newestVersion: newest, uses: () => 1 }))
       expect(placement).to.deep.include({ order: { operation: 'load', model: 'm', adapter: 'x', version: 2, expectedOrders: 7 } })
     })
 
     it('unloads an outdated adapter that is not requested', () => {
-      const placement = place(inputWith({ account: stateWith({ x: 1 }), newest }))
+      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1 }), newestVersion: newest }))
       expect(placement).to.have.nested.property('order.operation', 'unload')
     })
 
     it('evicts another adapter rather than one in use when all slots are taken', () => {
-      const placement = place(inputWith({ account: stateWith({ x: 1, y: 1, z: 1 }), newest, uses: key => key === 'm/x' ? 1 : 0, popularity: () => 9 }))
+      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1, y: 1, z: 1 }), newestVersion: newest, uses: key => key === 'm/x' ? 1 : 0, popularity: () => 9 }))
       expect(placement).to.have.nested.property('order.operation', 'unload')
       expect(placement).to.not.have.nested.property('order.adapter', 'x')
     })
 
     it('does nothing while the newer version is being loaded', () => {
-      const placement = place(inputWith({ account: stateWith({ x: 1 }, { coming: [{ key: 'm/x', version: 2 }] }), newest, uses: () => 1 }))
+      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1 }, { coming: [{ key: 'm/x', version: 2 }] }), newestVersion: newest, uses: () => 1 }))
       expect(placement.type).to.equal('nothing')
     })
   })
--- a/packages/fleet/test/reading-pace.test.ts
+++ b/packages/fleet/test/prefill-rate.test.ts
@@ -1,4 +1,4 @@
-import { ReadingPace, ServerState, nowMs } from '@finchpitch/fleet'
+import { PrefillRate, ServerState, nowMs } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
@@ -11,7 +11,7 @@
 
   describe('rate', () => {
     it('follows the samples and decays to the initial value', async () => {
-      const rate = new ReadingPace()
+      const rate = new PrefillRate()
       const initial = rate.msPerToken(nowMs())
       for (let each = 0; each < 10; each++) rate.add(1000, 10_000, nowMs())
       expect(rate.msPerToken(nowMs())).to.be.within(0.09, 0.1)
@@ -33,7 +33,7 @@
       expect(state.expectedMs(1000, 1, nowMs())).to.be.closeTo(alone * 10, 0.001)
       expect(state.unread).to.equal(9000)
       await time.pass(300)
-      state.heard(first)
+      state.recordFirstByte(first)
       expect(state.expectedMs(1000, 1, nowMs())).to.be.closeTo(alone, 1)
       state.end('m/x', first)
       expect(state.unread).to.equal(0)
@@ -41,7 +41,7 @@
 
     it('counts the prompts of other entries, as processed on since the report', async () => {
       const alone = state.expectedMs(1000, 1, nowMs())
-      state.tell({ at: nowMs(), reachable: true, held: new Map(), coming: new Set(), waiting: 0, running: 1, unread: 9000 })
+      state.applyReport({ at: nowMs(), reachable: true, held: new Map(), coming: new Set(), waiting: 0, running: 1, unread: 9000 })
       expect(state.expectedMs(1000, 1, nowMs())).to.be.closeTo(alone * 10, 0.001)
       await time.pass(150)
       expect(state.expectedMs(1000, 1, nowMs())).to.be.within(alone * 5, alone * 6)
@@ -52,7 +52,7 @@
     it('drops the tokens of a request that ended without an answer', () => {
       const pending = state.begin({ key: 'm/x', patienceMs: 1000, tokens: 9000, priority: 1 })
       state.end('m/x', pending)
-      state.heard(pending)
+      state.recordFirstByte(pending)
       expect(state.unread).to.equal(0)
     })
   })
--- a/packages/fleet/test/quotas.test.ts
+++ b/packages/fleet/test/quotas.test.ts
@@ -1,5 +1,5 @@
 import { pause, quietLog } from '@finchpitch/core'
-import { tokenLifeMs, type TokenSlice } from '@finchpitch/decisions'
+import { tokenLifetimeMs, type TokenSlice } from '@finchpitch/decisions'
 import { EntryCeiling, QuotaBank, QuotaExchange, Quotas, TeamAccount, costOf, noLimits, nowMs, type Limits, type Quota } from '@finchpitch/fleet'
 import { FakeTime, FleetSystem, askFleet, eventually } from '@finchpitch/stand-ins'
 import type { Channel, FrameOf, TokenAge } from '@finchpitch/wire'
@@ -56,7 +56,7 @@
     const gives = wanted > 0 || echo === undefined ? [] : account.takeSurplus().map((slice: TokenSlice): TokenAge => [team, slice.tokens, stamp - slice.earnedAt])
     const frame: FrameOf<'quota'> = { type: 'quota', stamp, ...(echo === undefined ? {} : { echo: { stamp: echo.stamp, heldMs: stamp - echo.cameAt } }), gives, wants: wanted > 0 ? [[team, wanted]] : [] }
     this.#after(there, () => {
-      const life = tokenLifeMs(quota, { windowMs: limits.quotaWindowMs, overage: limits.quotaOverage, slack: limits.quotaSlack })
+      const life = tokenLifetimeMs(quota, { windowMs: limits.quotaWindowMs, overage: limits.quotaOverage, slack: limits.quotaSlack })
       const answer = (this.banks[bank] as QuotaBank).exchange(String(entry), frame, () => life)
       this.#after(back, () => {
         // A process that has started again has no use for what its former life asked.
--- a/packages/fleet/test/replay/limit-replay.ts
+++ b/packages/fleet/test/replay/limit-replay.ts
@@ -5,7 +5,7 @@
  * or a bank is cut off. Requests come at random, as a seed draws them.
  */
 import { quietLog } from '@finchpitch/core'
-import { EntryCounters, QuotaBank, QuotaExchange, Quotas, ServerLimits, framesOf, nowMs, type BackendServer, type TryNews } from '@finchpitch/fleet'
+import { EntryCounters, QuotaBank, QuotaExchange, Quotas, ServerLimits, reportFrames, nowMs, type BackendServer, type AttemptReports } from '@finchpitch/fleet'
 import type { FakeTime } from '@finchpitch/stand-ins'
 import type { Channel, FrameOf } from '@finchpitch/wire'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
@@ -146,8 +146,8 @@
     return player
   }
 
-  #tell (from: number, news: TryNews): void {
-    const frames = framesOf(news)
+  #tell (from: number, news: AttemptReports): void {
+    const frames = reportFrames(news)
     this.#later(from, () => {
       for (const [entry, { limits, cut }] of this.entries.entries()) if (entry !== from && !cut) for (const frame of frames) limits.take(frame, 'a side process')
     })
--- a/packages/fleet/test/replay/load-replay.test.ts
+++ b/packages/fleet/test/replay/load-simulation.test.ts
@@ -1,6 +1,6 @@
-import type { Urgency } from '@finchpitch/fleet'
+import type { RankInput } from '@finchpitch/fleet'
 import { expect } from 'chai'
-import { LoadReplay, leastOutstanding, ownPolicy, shareInTime, type Pattern, type Policy } from './load-replay.js'
+import { LoadSimulation, leastOutstanding, productionPolicy, shareInTime, type LoadPattern, type Policy } from './load-simulation.js'
 
 const short = { name: 'short', perSecond: 60, tokens: { least: 300, most: 1500 }, objectiveMs: 600, deadlineMs: 5000, priority: 1, runMs: 450 }
 const long = { name: 'long', perSecond: 4, tokens: { least: 5000, most: 16_000 }, objectiveMs: 800, deadlineMs: 5000, priority: 1, runMs: 450 }
@@ -12,24 +12,24 @@
 const longPrompts = { ...eightEngines, kinds: [short, { ...long, perSecond: 12 }], burst: 1.4 }
 const seeds = [1, 2, 3, 4]
 
-const meanShareInTime = (pattern: Omit<Pattern, 'seed'>, policy: Policy): number =>
-  seeds.reduce((sum, seed) => sum + shareInTime(new LoadReplay({ ...pattern, seed }, policy).play()), 0) / seeds.length
+const meanShareInTime = (pattern: Omit<LoadPattern, 'seed'>, policy: Policy): number =>
+  seeds.reduce((sum, seed) => sum + shareInTime(new LoadSimulation({ ...pattern, seed }, policy).run()), 0) / seeds.length
 
-const isLate = ({ elapsedMs, readingMs, objectiveMs }: Urgency): boolean => elapsedMs + readingMs > objectiveMs
-const lateKeepRank: Policy = { ...ownPolicy, rank: urgency => isLate(urgency) ? 0 : ownPolicy.rank(urgency) }
-const arrivalOrder: Policy = { ...ownPolicy, rank: () => 0 }
+const isLate = ({ elapsedMs, prefillMs: readingMs, objectiveMs }: RankInput): boolean => elapsedMs + readingMs > objectiveMs
+const lateKeepRank: Policy = { ...productionPolicy, rank: urgency => isLate(urgency) ? 0 : productionPolicy.rank(urgency) }
+const arrivalOrder: Policy = { ...productionPolicy, rank: () => 0 }
 
 describe('load simulation', function () {
   this.timeout(60_000)
 
   it('is deterministic for a seed, and differs between seeds', () => {
-    const outcomes = (seed: number): unknown => [...new LoadReplay({ ...burst, seconds: 3, seed }, ownPolicy).play()]
+    const outcomes = (seed: number): unknown => [...new LoadSimulation({ ...burst, seconds: 3, seed }, productionPolicy).run()]
     expect(outcomes(1)).to.deep.equal(outcomes(1))
     expect(outcomes(1)).to.not.deep.equal(outcomes(2))
   })
 
   it('counts exactly one outcome per request', () => {
-    for (const { asked, inTime, late, refused } of new LoadReplay({ ...burst, seconds: 3, seed: 1 }, ownPolicy).play().values()) {
+    for (const { asked, inTime, late, refused } of new LoadSimulation({ ...burst, seconds: 3, seed: 1 }, productionPolicy).run().values()) {
       expect(inTime + late + refused).to.equal(asked)
     }
   })
@@ -37,7 +37,7 @@
   describe('with a burst', () => {
     let production: number
 
-    before(() => { production = meanShareInTime(burst, ownPolicy) })
+    before(() => { production = meanShareInTime(burst, productionPolicy) })
 
     it('meets the objective more often by urgency than in order of arrival', () => {
       expect(production).to.be.greaterThan(meanShareInTime(burst, arrivalOrder))
@@ -48,7 +48,7 @@
     })
 
     it('meets the objective far more often by expected first token and affinity than by least outstanding requests', () => {
-      expect(production).to.be.greaterThan(meanShareInTime(burst, { ...ownPolicy, choose: leastOutstanding }) + 0.1)
+      expect(production).to.be.greaterThan(meanShareInTime(burst, { ...productionPolicy, choose: leastOutstanding }) + 0.1)
     })
   })
 
@@ -56,7 +56,7 @@
     // Order by urgency gains nothing here beyond the variation between seeds: a share of 0.919 meets the objective with these
     // four seeds and 0.913 with six, against 0.929 and 0.909 in order of arrival.
     it('meets the objective more often if late requests yield to others', () => {
-      expect(meanShareInTime(longPrompts, ownPolicy)).to.be.greaterThan(meanShareInTime(longPrompts, lateKeepRank))
+      expect(meanShareInTime(longPrompts, productionPolicy)).to.be.greaterThan(meanShareInTime(longPrompts, lateKeepRank))
     })
   })
 })
--- a/packages/fleet/test/replay/load-replay.ts
+++ b/packages/fleet/test/replay/load-simulation.ts
@@ -5,14 +5,14 @@
  * the state of the engines with a delay. The durations are those in the logs of this system. The model is for tests that compare
  * one policy with another under the same load; it has no failures, no domains and no network.
  */
-import { chooseEngine, mostComing, rankOf, waitShare, type Choice, type EngineChoice, type EngineOption, type Urgency } from '@finchpitch/fleet'
+import { chooseEngine, maxConcurrentLoads, rankOf, maxWaitShare, type Choice, type EngineSelection, type EngineCandidate, type RankInput } from '@finchpitch/fleet'
 import { hashOf } from '@finchpitch/decisions'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator'
 
 /** A class of requests with common properties. */
-export interface Kind {
+export interface RequestKind {
   name: string
   perSecond: number
   tokens: { least: number, most: number }
@@ -23,7 +23,7 @@
   runMs: number
 }
 
-export interface Pattern {
+export interface LoadPattern {
   seed: number
   seconds: number
   engines: number
@@ -31,7 +31,7 @@
   places: number
   adapters: number
   entries: number
-  kinds: readonly Kind[]
+  kinds: readonly RequestKind[]
   /** Factor on the request rate in the middle third of the run. */
   burst: number
   /** The first `engines` engines process prompts at `share` of the normal rate. */
@@ -39,7 +39,7 @@
 }
 
 /** Baseline policy: the holder with the fewest requests or, if there is none, the engine with the fewest. */
-export const leastOutstanding = ({ options }: EngineChoice): Choice => {
+export const leastOutstanding = ({ candidates: options }: EngineSelection): Choice => {
   const holders = options.filter(option => option.holds)
   const [least] = (holders.length > 0 ? holders : [...options]).sort((a, b) => a.load - b.load)
   if (least === undefined) return { type: 'none', reason: 'no engine' }
@@ -50,12 +50,12 @@
 
 /** What is compared: how an entry selects an engine, and the rank of a request, the lowest first. */
 export interface Policy {
-  choose: (choice: EngineChoice) => Choice
-  rank: (urgency: Urgency) => number
+  choose: (choice: EngineSelection) => Choice
+  rank: (urgency: RankInput) => number
 }
 
 /** The policy that entries use. */
-export const ownPolicy: Policy = { choose: chooseEngine, rank: rankOf }
+export const productionPolicy: Policy = { choose: chooseEngine, rank: rankOf }
 
 export interface Outcome {
   asked: number
@@ -83,7 +83,7 @@
 const lengthSkew = 3
 
 interface SimulatedRequest {
-  kind: Kind
+  kind: RequestKind
   key: string
   tokens: number
   /** Tokens that are not processed yet. */
@@ -129,7 +129,7 @@
 
 const range = (count: number): number[] => Array.from({ length: count }, (_, at) => at)
 
-export class LoadReplay {
+export class LoadSimulation {
   readonly outcomes = new Map<string, Outcome>()
   readonly #random: RandomGenerator
   readonly #engines: Engine[]
@@ -139,7 +139,7 @@
   readonly #unreported: UnreportedRequest[] = []
   #now = 0
 
-  constructor (private readonly pattern: Pattern, private readonly policy: Policy) {
+  constructor (private readonly pattern: LoadPattern, private readonly policy: Policy) {
     this.#random = xoroshiro128plus(pattern.seed)
     const { engines, slow } = pattern
     const rateOf = (at: number): number => slow !== undefined && at < slow.engines ? tokensPerMs * slow.share : tokensPerMs
@@ -150,7 +150,7 @@
   }
 
   /** Runs the simulation to its end and returns the outcomes by kind of request. */
-  play (): ReadonlyMap<string, Outcome> {
+  run (): ReadonlyMap<string, Outcome> {
     const end = this.pattern.seconds * 1000
     for (this.#now = 0; this.#now < end + cooldownMs; this.#now += tickMs) {
       if (this.#now < end) this.#arrive()
@@ -180,7 +180,7 @@
     }
   }
 
-  #outcome (kind: Kind): Outcome {
+  #outcome (kind: RequestKind): Outcome {
     return this.outcomes.get(kind.name) ?? noOutcomes()
   }
 
@@ -208,7 +208,7 @@
 
   /** Starts the requested loads in order, evicting the least recently used adapter that no request uses. */
   #startLoads (engine: Engine): void {
-    while (engine.asked.length > 0 && engine.coming.size < mostComing) {
+    while (engine.asked.length > 0 && engine.coming.size < maxConcurrentLoads) {
       const key = engine.asked[0] ?? ''
       if (!engine.held.has(key) && !engine.coming.has(key)) {
         if (engine.held.size + engine.coming.size >= this.pattern.places && !this.#evict(engine)) return
@@ -239,7 +239,7 @@
   }
 
   #rank ({ kind, arrived, tokens }: SimulatedRequest): number {
-    return this.policy.rank({ priority: kind.priority, objectiveMs: kind.objectiveMs, elapsedMs: this.#now - arrived, readingMs: tokens / tokensPerMs })
+    return this.policy.rank({ priority: kind.priority, objectiveMs: kind.objectiveMs, elapsedMs: this.#now - arrived, prefillMs: tokens / tokensPerMs })
   }
 
   #route (): void {
@@ -249,7 +249,7 @@
       const choice = this.policy.choose(this.#selectionOf(job))
       if (choice.type === 'send') this.#send(job, Number(choice.id.split('-')[1]))
       else if (choice.type === 'bring' && choice.ask !== undefined) this.#requestLoad(job, Number(choice.ask.split('-')[1]))
-      if (choice.type !== 'send' && this.#now - job.arrived > job.kind.deadlineMs * waitShare) this.#refuse(job)
+      if (choice.type !== 'send' && this.#now - job.arrived > job.kind.deadlineMs * maxWaitShare) this.#refuse(job)
     }
   }
 
@@ -274,13 +274,13 @@
     this.#outcome(job.kind).refused += 1
   }
 
-  #selectionOf (job: SimulatedRequest): EngineChoice {
+  #selectionOf (job: SimulatedRequest): EngineSelection {
     const { kind, key, arrived } = job
     const left = kind.objectiveMs - (this.#now - arrived)
-    return { options: this.#engines.map((engine, at) => this.#candidateOf(engine, at, job)), domain: 'd', key, inTimeMs: left > 0 ? left : Infinity }
+    return { candidates: this.#engines.map((engine, at) => this.#candidateOf(engine, at, job)), domain: 'd', key, inTimeMs: left > 0 ? left : Infinity }
   }
 
-  #candidateOf (engine: Engine, at: number, { key, tokens, entry }: SimulatedRequest): EngineOption {
+  #candidateOf (engine: Engine, at: number, { key, tokens, entry }: SimulatedRequest): EngineCandidate {
     const report = this.#reports[0]?.[at]
     const unreported = this.#unreported.filter(sent => sent.engine === at && sent.entry === entry)
     const unread = Math.max(0, (report?.unread ?? 0) - reportDelayMs * engine.prefillRate) + unreported.reduce((sum, sent) => sum + sent.tokens, 0)
@@ -290,14 +290,14 @@
       domain: 'd',
       load: (report?.load ?? 0) + unreported.length,
       slots: this.pattern.slots,
-      doubtful: false,
-      lapsed: false,
+      unhealthy: false,
+      fallback: false,
       // Entries learn of loads without delay.
       holds: engine.held.has(key),
       coming: engine.coming.has(key) || engine.asked.includes(key),
       expectedMs: (unread + tokens) / engine.prefillRate,
       warm: engine.warm.has(key),
-      orderable: true
+      canRequestLoad: true
     }
   }
 }
--- a/packages/fleet/test/replay/probe-replay.ts
+++ b/packages/fleet/test/replay/probe-replay.ts
@@ -5,7 +5,7 @@
  * is cut off or has ended.
  */
 import { quietLog } from '@finchpitch/core'
-import { TryNewsRelay, Crashes, EntryCounters, ProbeExchange, RequestCrashes, ServerEnds, framesOf, nowMs, type BackendServer, type TryNews, type Facts, type Incoming } from '@finchpitch/fleet'
+import { AttemptReportRelay, Crashes, EntryCounters, ProbeExchange, RequestCrashes, ServerLiveness, reportFrames, nowMs, type BackendServer, type AttemptReports, type Facts, type IncomingRequest } from '@finchpitch/fleet'
 import type { FakeTime } from '@finchpitch/stand-ins'
 import type { Channel, Frame } from '@finchpitch/wire'
 
@@ -35,7 +35,7 @@
   /** Called with the entry that has just sent it. */
   sent: (entry: number) => void = () => {}
   readonly entries: Player[]
-  readonly #relays = new Map<string, TryNewsRelay>()
+  readonly #relays = new Map<string, AttemptReportRelay>()
   readonly #channels: Array<Map<string, Channel>>
   #copies = 0
 
@@ -47,7 +47,7 @@
 
   startRelay (host: string): void {
     this.#relays.get(host)?.close()
-    this.#relays.set(host, new TryNewsRelay(() => this.#channels.map(channels => channels.get(host)).filter(channel => channel !== undefined)))
+    this.#relays.set(host, new AttemptReportRelay(() => this.#channels.map(channels => channels.get(host)).filter(channel => channel !== undefined)))
   }
 
   endRelay (host: string): void {
@@ -72,7 +72,7 @@
   async #copy (entry: number): Promise<void> {
     const player = this.entries[entry]
     if (player === undefined) return
-    const request = new RequestCrashes(player.crashes, { id: `r${this.#copies}`, host: 'h', message: { method: 'GET', url: '/' } } as unknown as Incoming)
+    const request = new RequestCrashes(player.crashes, { id: `r${this.#copies}`, host: 'h', message: { method: 'GET', url: '/' } } as unknown as IncomingRequest)
     if (request.quarantine(undefined) !== undefined || !await request.mayRun(undefined) || !request.spend(undefined)) {
       this.refused += 1
       return
@@ -85,7 +85,7 @@
       if (this.fatal) this.ends.push(nowMs())
       if (player.deaf) return
       if (this.fatal) request.brokeOff(server, sentAt, undefined)
-      else request.endedWell(undefined)
+      else request.completed(undefined)
     }, runMs)
   }
 
@@ -94,7 +94,7 @@
     const facts = { servers: { get: () => ({ leaving: false }) }, onChange: () => {} } as unknown as Facts
     const crashes = new Crashes({
       facts,
-      ends: new ServerEnds(async () => true),
+      ends: new ServerLiveness(async () => true),
       exchange: { tell: news => this.#tell(entry, news) },
       askProbe: async fingerprint => await probes.ask(fingerprint),
       quarantined: () => {},
@@ -104,8 +104,8 @@
     return { crashes, probes, deaf: false }
   }
 
-  #tell (entry: number, news: TryNews): void {
-    for (const frame of framesOf(news)) for (const host of hosts) this.#toRelay(entry, host).send(frame)
+  #tell (entry: number, news: AttemptReports): void {
+    for (const frame of reportFrames(news)) for (const host of hosts) this.#toRelay(entry, host).send(frame)
   }
 
   #later (entry: number, act: () => void): void {
@@ -116,7 +116,7 @@
   #toRelay (entry: number, host: string): Channel {
     const send = (frame: Frame): boolean => {
       const back = this.#channels[entry]?.get(host)
-      this.#later(entry, () => { if (frame.type === 'crashes' && back !== undefined) this.#relays.get(host)?.take(back, frame) })
+      this.#later(entry, () => { if (frame.type === 'crashes' && back !== undefined) this.#relays.get(host)?.handleReport(back, frame) })
       return true
     }
     return { send } as unknown as Channel
--- a/packages/fleet/test/waiting-room.test.ts
+++ b/packages/fleet/test/request-queue.test.ts
@@ -1,4 +1,4 @@
-import { Cancellation, WaitingRoom, nowMs, type Choice, type Waiter } from '@finchpitch/fleet'
+import { Cancellation, RequestQueue, nowMs, type Choice, type QueuedRequest } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
@@ -7,14 +7,14 @@
 
 describe('queue of waiting requests', () => {
   let time: FakeTime
-  let room: WaitingRoom
+  let room: RequestQueue
   let freeSlots: number
   let loadRequests: Array<[string, number]>
   let order: string[]
 
   beforeEach(() => {
     time = new FakeTime()
-    room = new WaitingRoom()
+    room = new RequestQueue()
     freeSlots = 0
     loadRequests = []
     order = []
@@ -22,18 +22,18 @@
 
   afterEach(() => time.restore())
 
-  const waiter = (key: string, rank = 1, waitMs = 1000): Waiter => ({
+  const waiter = (key: string, rank = 1, waitMs = 1000): QueuedRequest => ({
     key,
     rank: () => rank,
-    until: nowMs() + waitMs,
+    expiresAt: nowMs() + waitMs,
     choose: () => freeSlots-- > 0 ? send : full,
-    hopeless: () => false,
+    isQuarantined: () => false,
     service: 'engines',
     mayWaitFor: () => true,
-    bring: (ask, waiting) => { loadRequests.push([ask, waiting]) }
+    requestLoad: (ask, waiting) => { loadRequests.push([ask, waiting]) }
   })
 
-  const wait = (name: string, each: Waiter, first: Choice = full, cancellation = new Cancellation()): void => {
+  const wait = (name: string, each: QueuedRequest, first: Choice = full, cancellation = new Cancellation()): void => {
     void room.wait(each, first, cancellation).then(end => order.push(`${name} ${end.type}`))
   }
 
@@ -42,7 +42,7 @@
     wait('urgent', waiter('b', 0))
     wait('last', waiter('c', 1))
     freeSlots = 2
-    room.poke()
+    room.scheduleScan()
     await time.pass(50)
     expect(order).to.deep.equal(['urgent chosen', 'late chosen'])
     expect(room.size).to.equal(1)
@@ -53,7 +53,7 @@
     wait('adapter', waiter('b'), { type: 'bring', ask: 'e', held: false, reason: 'held nowhere' })
     wait('either', waiter('c'), { type: 'bring', ask: 'e', held: true, reason: 'its holders are full' })
     freeSlots = 3
-    room.pokeFull()
+    room.scheduleCapacityScan()
     await time.pass(50)
     expect(order).to.deep.equal(['place chosen', 'either chosen'])
   })
@@ -79,17 +79,17 @@
 
   it('ends the wait of a quarantined request with the next scan', async () => {
     let hopeless = false
-    wait('bad', { ...waiter('k'), hopeless: () => hopeless })
+    wait('bad', { ...waiter('k'), isQuarantined: () => hopeless })
     wait('good', waiter('k'))
     hopeless = true
-    room.poke()
+    room.scheduleScan()
     await time.pass(20)
     expect(order).to.deep.equal(['bad hopeless'])
   })
 
   describe('for rate-limited servers', () => {
     const limited: Choice = { type: 'limited', readyInMs: 100, everyMs: 200, reason: 'all servers name limits' }
-    const limitedWaiter = (rank: number, maxWaitMs = Infinity): Waiter => ({
+    const limitedWaiter = (rank: number, maxWaitMs = Infinity): QueuedRequest => ({
       ...waiter(`key ${rank}`, rank),
       choose: () => freeSlots-- > 0 ? send : limited,
       mayWaitFor: choice => choice.type !== 'limited' || choice.readyInMs <= maxWaitMs
@@ -104,11 +104,11 @@
 
     it('ends the wait of requests whose turn comes too late, from the end of the queue', async () => {
       for (const rank of [3, 1, 2]) wait(`rank ${rank}`, limitedWaiter(rank, 300), limited)
-      room.poke()
+      room.scheduleScan()
       await time.pass(20)
       expect(order).to.deep.equal(['rank 3 expired'])
       freeSlots = 1
-      room.poke()
+      room.scheduleScan()
       await time.pass(20)
       expect(order).to.deep.equal(['rank 3 expired', 'rank 1 chosen'])
     })
--- a/packages/fleet/test/urgency.test.ts
+++ b/packages/fleet/test/request-rank.test.ts
@@ -1,9 +1,9 @@
-import { FirstTries, rankOf } from '@finchpitch/fleet'
+import { FirstAttemptEstimator, rankOf } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
 describe('request urgency', () => {
   describe('the rank', () => {
-    const rank = (priority: number, elapsedMs: number, readingMs: number): number => rankOf({ priority, objectiveMs: 800, elapsedMs, readingMs })
+    const rank = (priority: number, elapsedMs: number, readingMs: number): number => rankOf({ priority, objectiveMs: 800, elapsedMs, prefillMs: readingMs })
 
     it('orders requests by the route\'s priority, both with ample slack and with little', () => {
       expect(rank(0, 0, 20)).to.be.lessThan(rank(1, 0, 20))
@@ -30,8 +30,8 @@
   })
 
   describe('the time since a caller\'s first attempt', () => {
-    const seen = (...remaining: number[]): FirstTries => {
-      const tries = new FirstTries()
+    const seen = (...remaining: number[]): FirstAttemptEstimator => {
+      const tries = new FirstAttemptEstimator()
       for (const each of remaining) tries.agoMs('r', each)
       return tries
     }
--- a/packages/fleet/test/request-times.test.ts
+++ b/packages/fleet/test/request-times.test.ts
@@ -13,7 +13,7 @@
   beforeEach(() => {
     time = new FakeTime()
     times = new RequestTimes()
-    times.deadline = times.arrived + 15_000
+    times.deadline = times.arrivedAt + 15_000
   })
 
   afterEach(() => time.restore())
@@ -21,18 +21,18 @@
   it('limit the wait to the caller\'s patience less the time to serve the request', () => {
     expect(times.waitUntil(route) - nowMs()).to.equal(2100)
     expect(times.waitUntil({ ...route, patienceMs: undefined }) - nowMs()).to.equal(6750)
-    times.deadline = times.arrived + 2000
+    times.deadline = times.arrivedAt + 2000
     expect(times.waitUntil(route) - nowMs()).to.equal(900)
   })
 
   it('run from the caller\'s first attempt, with no time limit once the objective is missed', async () => {
     await time.pass(200)
-    expect(times.inTimeMs(route)).to.be.closeTo(400, 5)
+    expect(times.timeToObjectiveMs(route)).to.be.closeTo(400, 5)
     times.firstTriedMs = 300
-    expect(times.inTimeMs(route)).to.be.closeTo(100, 5)
+    expect(times.timeToObjectiveMs(route)).to.be.closeTo(100, 5)
     expect(times.rank(route, 20)).to.be.lessThan(6)
     await time.pass(150)
-    expect(times.inTimeMs(route)).to.equal(Infinity)
+    expect(times.timeToObjectiveMs(route)).to.equal(Infinity)
     expect(times.rank(route, 20)).to.be.at.least(6)
   })
 })
--- a/packages/fleet/test/server-ends.test.ts
+++ b/packages/fleet/test/server-liveness.test.ts
@@ -1,6 +1,6 @@
 import { once } from 'node:events'
 import { createServer, type AddressInfo, type Server } from 'node:net'
-import { ServerEnds, type BackendServer } from '@finchpitch/fleet'
+import { ServerLiveness, type BackendServer } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
 const serverAt = (address: string): BackendServer => ({ id: 'i', service: 's', address, domain: 'a', slots: 1, leaving: false, models: [] })
@@ -19,18 +19,18 @@
   afterEach(() => { listener.close() })
 
   it('returns false while the address accepts connections', async () => {
-    expect(await new ServerEnds().ended(server)).to.equal(false)
+    expect(await new ServerLiveness().ended(server)).to.equal(false)
   })
 
   it('returns true if the address refuses connections', async () => {
     listener.close()
     await once(listener, 'close')
-    expect(await new ServerEnds().ended(server)).to.equal(true)
+    expect(await new ServerLiveness().ended(server)).to.equal(true)
   })
 
   it('probes once for all requests that broke off together, and again later', async () => {
     let probes = 0
-    const ends = new ServerEnds(async () => {
+    const ends = new ServerLiveness(async () => {
       probes += 1
       return true
     })
--- a/packages/fleet/test/server-state.test.ts
+++ b/packages/fleet/test/server-state.test.ts
@@ -19,7 +19,7 @@
   it('reports the load of the last report, and at least the own requests', () => {
     const pending = state.begin({ key: undefined, patienceMs: 1000, tokens: 0, priority: 1 })
     expect(state.load).to.equal(1)
-    state.tell({ at: nowMs(), reachable: true, held: new Map(), coming: new Set(), waiting: 1, running: 4, unread: 0 })
+    state.applyReport({ at: nowMs(), reachable: true, held: new Map(), coming: new Set(), waiting: 1, running: 4, unread: 0 })
     expect(state.load).to.equal(5)
     state.end(undefined, pending)
     expect(state.load).to.equal(5)
@@ -28,7 +28,7 @@
   it('counts refusals as load for a limited time', async () => {
     for (let each = 0; each < 10; each++) {
       const pending = state.begin({ key: undefined, patienceMs: 1000, tokens: 0, priority: 1 })
-      state.refusedOne()
+      state.recordRefusal()
       state.end(undefined, pending)
     }
     expect(state.load).to.equal(20)
--- a/packages/fleet/test/silent-store.test.ts
+++ b/packages/fleet/test/silent-store.test.ts
@@ -8,7 +8,7 @@
  * return and none in the next two, and all four logged `store.regained` for the table 4.1 to 4.3 s after those calls.
  */
 import { pause, quietLog } from '@finchpitch/core'
-import { Facts, Outage, Turn, follow, gatherMs, type Fact, type FactPage, type FactSource, type StoreFailure } from '@finchpitch/fleet'
+import { Facts, StoreHealth, DutySwitch, watchFacts, watchPauseMs, type Fact, type FactPage, type FactSource, type StoreFailure } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 import { err, ok, type Result } from 'neverthrow'
@@ -90,13 +90,13 @@
   readonly #stop = new AbortController()
 
   constructor () {
-    const turn = new Turn()
-    const outage = new Outage()
+    const turn = new DutySwitch()
+    const outage = new StoreHealth()
     this.store.change('table', 1)
     this.store.change('version', 1)
     for (const kind of kinds) {
-      const restMs = (of: Fact['kind']): number => gatherMs(of, 4, 2000)
-      void follow({ source: this.store.source(kind), facts: this.facts, log: quietLog, signal: this.#stop.signal, outage, turn, restMs })
+      const restMs = (of: Fact['kind']): number => watchPauseMs(of, 4, 2000)
+      void watchFacts({ source: this.store.source(kind), facts: this.facts, log: quietLog, signal: this.#stop.signal, outage, duty: turn, pauseMs: restMs })
     }
   }
 
--- a/packages/fleet/test/reader.test.ts
+++ b/packages/fleet/test/subscriber.test.ts
@@ -1,4 +1,4 @@
-import { EngineNews, Reader, type EngineSnapshot } from '@finchpitch/fleet'
+import { EngineUpdate, Subscriber, type EngineSnapshot } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { FrameReader, type Frame } from '@finchpitch/wire'
 import { expect } from 'chai'
@@ -10,20 +10,20 @@
   let time: FakeTime
   let sent: Frame[]
   let heartbeats: number
-  let relayed: Map<string, EngineNews>
+  let relayed: Map<string, EngineUpdate>
 
-  const update = (more: Partial<EngineSnapshot> = {}): EngineNews => new EngineNews({
+  const update = (more: Partial<EngineSnapshot> = {}): EngineUpdate => new EngineUpdate({
     host: ownHost, changes: 0, held: new Map(), coming: [], warm: () => [], reachable: true, server: 's', waiting: 0, running: 0, unread: 0, entries: 1, strangers: 0, fence: 1, ...more
   })
 
-  const subscriberOf = (near: boolean): Reader => {
+  const subscriberOf = (near: boolean): Subscriber => {
     const frameReader = new FrameReader()
     const channel = {
       send: (frame: Frame) => { sent.push(frame) },
       sendEncoded: (frames: Buffer[]) => { for (const frame of frames) sent.push(...frameReader.read(frame)._unsafeUnwrap()) },
       beat: () => { heartbeats += 1 }
     }
-    return new Reader({ channel: channel as never, near, ownHost })
+    return new Subscriber({ channel: channel as never, isLocal: near, engineHost: ownHost })
   }
 
   beforeEach(() => {
@@ -36,11 +36,11 @@
   afterEach(() => time.restore())
 
   describe('that subscribes to its engine from another failure domain', () => {
-    let subscriber: Reader
+    let subscriber: Subscriber
 
     beforeEach(() => {
       subscriber = subscriberOf(false)
-      subscriber.follow([ownHost])
+      subscriber.setSubscriptions([ownHost])
       subscriber.publish(update(), relayed)
     })
 
@@ -60,7 +60,7 @@
 
     it('are sent at once after a demand, as a sign of life', () => {
       subscriber.publish(update(), relayed)
-      subscriber.want('m/a')
+      subscriber.recordDemand('m/a')
       subscriber.publish(update(), relayed)
       subscriber.publish(update(), relayed)
       expect(sent).to.have.length(2)
@@ -126,14 +126,14 @@
       const subscriber = subscriberOf(false)
       subscriber.publish(update(), relayed)
       expect([sent.length, heartbeats]).to.deep.equal([0, 0])
-      subscriber.want('m/a')
+      subscriber.recordDemand('m/a')
       subscriber.publish(update(), relayed)
       expect([sent.length, heartbeats]).to.deep.equal([0, 1])
     })
 
     it('are replaced by one notification when the demanded key is loaded', () => {
       const subscriber = subscriberOf(false)
-      subscriber.want('m/a')
+      subscriber.recordDemand('m/a')
       subscriber.publish(update(), relayed)
       const held = update({ changes: 1, held: new Map([['m/a', 4], ['m/b', 1]]) })
       subscriber.publish(held, relayed)
@@ -143,7 +143,7 @@
 
     it('are replaced by a refusal of the demanded key, and of no other', () => {
       const subscriber = subscriberOf(false)
-      subscriber.want('m/a')
+      subscriber.recordDemand('m/a')
       subscriber.decline('m/b', 'no_place')
       subscriber.decline('m/a', 'no_place')
       expect(sent).to.deep.equal([{ type: 'declined', key: 'm/a', reason: 'no_place' }])
@@ -154,16 +154,16 @@
     it('report up to which revision it has everything, and repeat that only when it was confirmed again', () => {
       const subscriber = subscriberOf(true)
       const complete = { table: 1, server: 2, version: 3 }
-      subscriber.tellComplete(complete, 0)
+      subscriber.sendComplete(complete, 0)
       expect(sent).to.have.length(0)
-      subscriber.depend(true)
-      subscriber.tellComplete(complete, 1000)
-      subscriber.tellComplete(complete, 1500)
+      subscriber.setDependent(true)
+      subscriber.sendComplete(complete, 1000)
+      subscriber.sendComplete(complete, 1500)
       expect(sent).to.deep.equal([{ type: 'caught_up', complete }])
-      subscriber.tellComplete(complete, 2000)
-      subscriber.tellComplete(complete, 2000)
+      subscriber.sendComplete(complete, 2000)
+      subscriber.sendComplete(complete, 2000)
       expect(sent).to.have.length(2)
-      subscriber.tellComplete({ ...complete, server: 4 }, 2000)
+      subscriber.sendComplete({ ...complete, server: 4 }, 2000)
       expect(sent.at(-1)).to.deep.equal({ type: 'caught_up', complete: { ...complete, server: 4 } })
     })
   })
@@ -171,7 +171,7 @@
   describe('in its own failure domain that subscribes to a remote engine', () => {
     it('relay the state of that engine, batched', async () => {
       const subscriber = subscriberOf(true)
-      subscriber.follow([remoteHost])
+      subscriber.setSubscriptions([remoteHost])
       subscriber.publish(update(), relayed)
       expect(sent).to.have.length(0)
       relayed.set(remoteHost, update({ host: remoteHost, running: 3 }))
@@ -189,7 +189,7 @@
     it('are sent together with others that are due, unless one was sent a moment ago', async () => {
       const subscriber = subscriberOf(true)
       const hostsSince = (count: number): Array<string | undefined> => sent.slice(count).map(frame => (frame as { host?: string }).host)
-      subscriber.follow([ownHost, remoteHost])
+      subscriber.setSubscriptions([ownHost, remoteHost])
       relayed.set(remoteHost, update({ host: remoteHost, running: 3 }))
       subscriber.publish(update(), relayed)
       relayed.set(remoteHost, update({ host: remoteHost, running: 4 }))
@@ -203,7 +203,7 @@
 
     it('are sent for load changes of a tenth of the batch, if that exceeds the fixed minimum', async () => {
       const subscriber = subscriberOf(true)
-      subscriber.follow([ownHost])
+      subscriber.setSubscriptions([ownHost])
       subscriber.publish(update({ batchSize: 48 }), relayed)
       await time.pass(250)
       subscriber.publish(update({ batchSize: 48, running: 4 }), relayed)
@@ -218,10 +218,10 @@
     it('start with the full state again for a peer that subscribes again', () => {
       const subscriber = subscriberOf(true)
       relayed.set(remoteHost, update({ host: remoteHost, held: new Map([['m/a', 1]]) }))
-      subscriber.follow([remoteHost])
+      subscriber.setSubscriptions([remoteHost])
       subscriber.publish(update(), relayed)
-      subscriber.follow([])
-      subscriber.follow([remoteHost])
+      subscriber.setSubscriptions([])
+      subscriber.setSubscriptions([remoteHost])
       subscriber.publish(update(), relayed)
       expect(sent.at(-1)).to.deep.include({ whole: true, came: { 'm/a': 1 } })
     })
@@ -230,7 +230,7 @@
   it('are encoded once for subscribers with the same last state', () => {
     const before = update()
     const after = update({ running: 5 })
-    expect(after.frameAfter(before)).to.equal(after.frameAfter(before))
-    expect(after.frameAfter(undefined)).to.equal(after.frameAfter(undefined))
+    expect(after.encodeSince(before)).to.equal(after.encodeSince(before))
+    expect(after.encodeSince(undefined)).to.equal(after.encodeSince(undefined))
   })
 })
--- a/packages/fleet/test/readers.test.ts
+++ b/packages/fleet/test/subscribers.test.ts
@@ -6,7 +6,7 @@
  * logged `reader.lost` for two entries at revision 316 and, 80 ms later, for the same two at revision 324.
  */
 import { ProcessId, FailureDomain, quietLog } from '@finchpitch/core'
-import { EngineNews, Facts, Readers, type Fact, type Reader } from '@finchpitch/fleet'
+import { EngineUpdate, Facts, Subscribers, type Fact, type Subscriber } from '@finchpitch/fleet'
 import { FakeTime, channelOptions } from '@finchpitch/stand-ins'
 import type { Channel, Frame, StoreSight } from '@finchpitch/wire'
 import { expect } from 'chai'
@@ -18,29 +18,29 @@
 
 describe('a side process and its local entries', () => {
   let facts: Facts
-  let readers: Readers
-  let entry: Reader
+  let readers: Subscribers
+  let entry: Subscriber
 
   const channel = { peer: { process: ProcessId.parse('entry'), domain: FailureDomain.parse(domain) }, open: true, send: () => true, sendEncoded: () => true, beat: () => {}, close: () => {} } as unknown as Channel
-  const engineUpdate = (): EngineNews => new EngineNews({ host, changes: 0, held: new Map(), coming: [], warm: () => [], reachable: true, server: 's', waiting: 0, running: 0, unread: 0, entries: 1, strangers: 0, fence: 1 })
+  const engineUpdate = (): EngineUpdate => new EngineUpdate({ host, changes: 0, held: new Map(), coming: [], warm: () => [], reachable: true, server: 's', waiting: 0, running: 0, unread: 0, entries: 1, strangers: 0, fence: 1 })
 
   beforeEach(() => {
     facts = new Facts(quietLog, () => 1000)
-    readers = new Readers({ domain, host, facts, news: engineUpdate, sidePort: 1, channel: channelOptions('side'), dial: async () => { throw new Error('no side process listens') }, log: quietLog })
-    entry = readers.join(channel)
+    readers = new Subscribers({ domain, host, facts, engineUpdate, sidePort: 1, channel: channelOptions('side'), dial: async () => { throw new Error('no side process listens') }, log: quietLog })
+    entry = readers.add(channel)
   })
 
   afterEach(() => readers.close())
 
   describe('one of which reads the store', () => {
     it('does not adopt the revision in a heartbeat before that entry has sent its facts', () => {
-      readers.take(heartbeat, entry)
+      readers.handleFrame(heartbeat, entry)
       expect(facts.complete).to.deep.equal({ table: 0, server: 0, version: 0 })
     })
 
     it('adopts the revision in a heartbeat once that entry has sent its facts', () => {
-      readers.take({ type: 'follow', hosts: [host], relay: false }, entry)
-      readers.take(heartbeat, entry)
+      readers.handleFrame({ type: 'follow', hosts: [host], relay: false }, entry)
+      readers.handleFrame(heartbeat, entry)
       expect(facts.complete).to.deep.equal(complete)
     })
   })
@@ -67,7 +67,7 @@
         return true
       }
     }) as unknown as Channel
-    const reportSight = (subscriber: Reader, sight: StoreSight): void => readers.take({ type: 'heartbeat', revision: 1, sight } as Frame, subscriber)
+    const reportSight = (subscriber: Subscriber, sight: StoreSight): void => readers.handleFrame({ type: 'heartbeat', revision: 1, sight } as Frame, subscriber)
 
     beforeEach(() => {
       time = new FakeTime()
@@ -78,8 +78,8 @@
 
     for (const [peer, peerDomain, relay] of [['a local entry', domain, false], ['a remote side process', 'b', true]] as const) {
       it(`sends facts at once to ${peer} that reports so, including those still held back for it`, async () => {
-        const subscriber = readers.join(peerIn(peerDomain))
-        readers.take({ type: 'follow', hosts: [host], relay }, subscriber)
+        const subscriber = readers.add(peerIn(peerDomain))
+        readers.handleFrame({ type: 'follow', hosts: [host], relay }, subscriber)
         reportSight(subscriber, 'reading')
         facts.offer(named(2), 'store')
         await time.pass(sendMs)
@@ -102,7 +102,7 @@
     it('reports so itself, unless another local entry reads the store', () => {
       reportSight(entry, 'blind')
       expect(facts.sight).to.equal('blind')
-      const other = readers.join(peerIn(domain))
+      const other = readers.add(peerIn(domain))
       reportSight(other, 'reading')
       expect(facts.sight).to.equal('reading')
     })
--- a/packages/fleet/test/suspension.test.ts
+++ b/packages/fleet/test/suspension.test.ts
@@ -4,8 +4,8 @@
  * valid, and expired quota tokens were spent in addition to those that the other entries had earned meanwhile.
  */
 import { quietLog } from '@finchpitch/core'
-import { tokenLifeMs, type QuotaRate } from '@finchpitch/decisions'
-import { Facts, KeyLease, QuotaBank, QuotaExchange, Quotas, TableProver, acceptFresh, answerFresh, askFresh, elapsedMs, hashKey, noLimits, nowMs, quotaBoundOf, type FactPage, type FactSource, type FleetTeam, type Limits, type RoutingTable, type StoreFailure } from '@finchpitch/fleet'
+import { tokenLifetimeMs, type QuotaRate } from '@finchpitch/decisions'
+import { Facts, KeyLease, QuotaBank, QuotaExchange, Quotas, TableProver, acceptProof, answerProofRequest, requestProof, boottimeMs, hashKey, noLimits, nowMs, quotaBoundOf, type FactPage, type FactSource, type FleetTeam, type Limits, type RoutingTable, type StoreFailure } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import type { Channel, Frame, FrameOf } from '@finchpitch/wire'
 import { expect } from 'chai'
@@ -21,7 +21,7 @@
 const factsWithTable = (): Facts => {
   const facts = new Facts(quietLog, () => 1000)
   facts.offer({ kind: 'table', key: 'table', revision: 1, value: table }, 'store')
-  facts.completed('table', 1)
+  facts.markComplete('table', 1)
   return facts
 }
 
@@ -36,29 +36,29 @@
 
   describe('the elapsed clock', () => {
     it('includes the suspension, and otherwise runs with the monotonic clock', async () => {
-      const [elapsed, monotonic] = [elapsedMs(), nowMs()]
+      const [elapsed, monotonic] = [boottimeMs(), nowMs()]
       await time.pass(100)
       time.suspend(suspendedMs)
       await time.pass(100)
       expect(nowMs() - monotonic).to.equal(200)
-      expect(elapsedMs() - elapsed).to.equal(200 + suspendedMs)
+      expect(boottimeMs() - elapsed).to.equal(200 + suspendedMs)
     })
 
     it('does not go back when the time of day is set back', async () => {
-      const elapsed = elapsedMs()
+      const elapsed = boottimeMs()
       time.suspend(-suspendedMs)
       await time.pass(100)
-      expect(elapsedMs() - elapsed).to.equal(100)
+      expect(boottimeMs() - elapsed).to.equal(100)
     })
 
     it('does not accumulate small corrections of the time of day', async () => {
-      const elapsed = elapsedMs()
+      const elapsed = boottimeMs()
       for (let each = 0; each < 100; each++) {
         time.suspend(5)
         await time.pass(1000)
-        elapsedMs()
+        boottimeMs()
       }
-      expect(elapsedMs() - elapsed).to.equal(100_000)
+      expect(boottimeMs() - elapsed).to.equal(100_000)
     })
   })
 
@@ -66,7 +66,7 @@
     it('has expired on wake-up', () => {
       const facts = factsWithTable()
       const lease = new KeyLease(facts, () => limits)
-      facts.freshness.prove(elapsedMs())
+      facts.freshness.prove(boottimeMs())
       expect(lease.held).to.equal(true)
       time.suspend(suspendedMs)
       expect(lease.held).to.equal(false)
@@ -85,19 +85,19 @@
 
     it('is not renewed by a peer\'s proof that was requested before the suspension', () => {
       const [entry, side] = [factsWithTable(), factsWithTable()]
-      side.freshness.prove(elapsedMs())
+      side.freshness.prove(boottimeMs())
       const [asked, answered]: [Frame[], Frame[]] = [[], []]
-      askFresh(entry, collectingChannel(asked))
-      const receivedAt = elapsedMs()
-      answerFresh(side, { channel: collectingChannel(answered), ask: asked[0] as FrameOf<'ask_fresh'>, cameAt: receivedAt })
+      requestProof(entry, collectingChannel(asked))
+      const receivedAt = boottimeMs()
+      answerProofRequest(side, { channel: collectingChannel(answered), ask: asked[0] as FrameOf<'ask_fresh'>, cameAt: receivedAt })
       time.suspend(suspendedMs)
-      acceptFresh(entry, answered[0] as FrameOf<'fresh'>)
+      acceptProof(entry, answered[0] as FrameOf<'fresh'>)
       expect(entry.freshness.ageMs).to.be.at.least(suspendedMs)
     })
   })
 
   describe('quota tokens', () => {
-    const life = tokenLifeMs(rate, quotaBoundOf(limits))
+    const life = tokenLifetimeMs(rate, quotaBoundOf(limits))
     let quotas: Quotas
 
     const canReserve = async (tokens: number): Promise<boolean> => typeof await quotas.reserve(team, `${tokens},0`) !== 'number'
--- a/packages/fleet/test/teams.test.ts
+++ b/packages/fleet/test/teams.test.ts
@@ -1,5 +1,5 @@
 import { FleetSystem, askFleet, eventually, type Ask, type Reply } from '@finchpitch/stand-ins'
-import { RouteIndex, admit, credentialOf, hashKey, outgoingOf, type HeaderNames, type Marks, type Route } from '@finchpitch/fleet'
+import { RouteIndex, admit, credentialOf, hashKey, buildOutgoingRequest, type HeaderNames, type OutgoingContext, type Route } from '@finchpitch/fleet'
 import { headerNames } from '@finchpitch/platform'
 import { pause } from '@finchpitch/core'
 import { expect } from 'chai'
@@ -58,38 +58,38 @@
     const key = (text: string): Parameters<typeof admit>[1]['credential'] => ({ type: 'key', hash: hashKey(text) })
 
     it('identifies the team by its key and prefers the priority of the team', () => {
-      expect(admit(routes, { host: 'h', path: '/p/x', credential: key('red-2'), confirmed: true })).to.deep.include({ type: 'admitted', priority: 1 })
-      expect(admit(routes, { host: 'h', path: '/p/x', credential: key('blue-1'), confirmed: true })).to.deep.include({ type: 'admitted', priority: 2 })
+      expect(admit(routes, { host: 'h', path: '/p/x', credential: key('red-2'), tableConfirmed: true })).to.deep.include({ type: 'admitted', priority: 1 })
+      expect(admit(routes, { host: 'h', path: '/p/x', credential: key('blue-1'), tableConfirmed: true })).to.deep.include({ type: 'admitted', priority: 2 })
     })
 
     it('denies an unknown, a missing and an invalid key', () => {
       for (const credential of [key('red-3'), { type: 'none' } as const, { type: 'invalid' } as const]) {
-        expect(admit(routes, { host: 'h', path: '/p/x', credential, confirmed: true })).to.deep.include({ type: 'denied', reason: 'key_not_known' })
+        expect(admit(routes, { host: 'h', path: '/p/x', credential, tableConfirmed: true })).to.deep.include({ type: 'denied', reason: 'key_not_known' })
       }
     })
 
     it('requires no key on a public route and ignores an unknown one', () => {
-      const admitted = admit(routes, { host: 'h', path: '/open/x', credential: key('red-3'), confirmed: true })
+      const admitted = admit(routes, { host: 'h', path: '/open/x', credential: key('red-3'), tableConfirmed: true })
       expect(admitted).to.deep.include({ type: 'admitted', team: undefined })
     })
 
     it('neither accepts nor rejects a key while the table may be stale', () => {
       for (const credential of [key('red-1'), key('red-3')]) {
-        expect(admit(routes, { host: 'h', path: '/p/x', credential, confirmed: false })).to.deep.include({ type: 'denied', reason: 'keys_not_confirmed' })
+        expect(admit(routes, { host: 'h', path: '/p/x', credential, tableConfirmed: false })).to.deep.include({ type: 'denied', reason: 'keys_not_confirmed' })
       }
-      expect(admit(routes, { host: 'h', path: '/p/x', credential: { type: 'none' }, confirmed: false })).to.deep.include({ reason: 'key_not_known' })
-      expect(admit(routes, { host: 'h', path: '/open/x', credential: { type: 'none' }, confirmed: false })).to.deep.include({ type: 'admitted' })
-      expect(admit(routes, { host: 'h', path: '/open/x', credential: key('red-1'), confirmed: false })).to.deep.include({ reason: 'keys_not_confirmed' })
+      expect(admit(routes, { host: 'h', path: '/p/x', credential: { type: 'none' }, tableConfirmed: false })).to.deep.include({ reason: 'key_not_known' })
+      expect(admit(routes, { host: 'h', path: '/open/x', credential: { type: 'none' }, tableConfirmed: false })).to.deep.include({ type: 'admitted' })
+      expect(admit(routes, { host: 'h', path: '/open/x', credential: key('red-1'), tableConfirmed: false })).to.deep.include({ reason: 'keys_not_confirmed' })
     })
 
     it('reports a missing route before a missing key', () => {
-      expect(admit(routes, { host: 'h', path: '/q/x', credential: { type: 'none' }, confirmed: true })).to.deep.include({ type: 'denied', reason: 'no_route' })
+      expect(admit(routes, { host: 'h', path: '/q/x', credential: { type: 'none' }, tableConfirmed: true })).to.deep.include({ type: 'denied', reason: 'no_route' })
     })
   })
 
   describe('the request sent to a server', () => {
-    const marks: Marks = { remaining: 100, server: 'i', engine: undefined, team: 'red', keyed: true, resumeAt: undefined }
-    const sent = (raw: string[], more: Partial<Marks> = {}): string[] => outgoingOf(message(raw), Buffer.alloc(0), names, { ...marks, ...more }).headers
+    const marks: OutgoingContext = { remainingMs: 100, server: 'i', engine: undefined, team: 'red', keyed: true, resumeAfter: undefined }
+    const sent = (raw: string[], more: Partial<OutgoingContext> = {}): string[] => buildOutgoingRequest(message(raw), Buffer.alloc(0), names, { ...marks, ...more }).headers
     const valuesOf = (headers: string[], name: string): string[] => headers.filter((_value, at) => at % 2 === 1 && headers[at - 1]?.toLowerCase() === name)
 
     it('never contains the key, however spelled or repeated', () => {
--- a/packages/fleet/test/watch-duty.test.ts
+++ b/packages/fleet/test/watch-duty.test.ts
@@ -1,4 +1,4 @@
-import { dutyOf, watchersAmong, type Candidate } from '@finchpitch/fleet'
+import { dutyOf, selectWatchers, type WatcherCandidate } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
 describe('who watches the platform\'s store', () => {
@@ -40,23 +40,23 @@
   })
 
   describe('as side processes name them', () => {
-    const entries = (more: Partial<Candidate>[] = []): Candidate[] =>
+    const entries = (more: Partial<WatcherCandidate>[] = []): WatcherCandidate[] =>
       ['e', 'd', 'c', 'b', 'a'].map((process, at) => ({ process, silentMs: 100, sight: 'resting', ...more[at] }))
 
     it('is the same three for all', () => {
-      expect([...watchersAmong(entries()).named]).to.deep.equal(['a', 'b', 'c'])
-      expect(watchersAmong(entries().reverse())).to.deep.equal(watchersAmong(entries()))
+      expect([...selectWatchers(entries()).selected]).to.deep.equal(['a', 'b', 'c'])
+      expect(selectWatchers(entries().reverse())).to.deep.equal(selectWatchers(entries()))
     })
 
     it('is not one that is silent, or that the store does not answer', () => {
-      expect([...watchersAmong(entries([{}, {}, { silentMs: 1600 }, { sight: 'blind' }, {}])).named]).to.deep.equal(['a', 'd', 'e'])
+      expect([...selectWatchers(entries([{}, {}, { silentMs: 1600 }, { sight: 'blind' }, {}])).selected]).to.deep.equal(['a', 'd', 'e'])
     })
 
     it('is the first of those heard where the store answers none', () => {
       const blind = entries(Array.from({ length: 5 }, () => ({ sight: 'blind' as const })))
-      expect([...watchersAmong(blind).named]).to.deep.equal(['a', 'b', 'c'])
-      expect(watchersAmong(blind).outage).to.equal(true)
-      expect(watchersAmong(entries([{ sight: 'blind' }])).outage).to.equal(false)
+      expect([...selectWatchers(blind).selected]).to.deep.equal(['a', 'b', 'c'])
+      expect(selectWatchers(blind).outage).to.equal(true)
+      expect(selectWatchers(entries([{ sight: 'blind' }])).outage).to.equal(false)
     })
   })
 })
