--- a/packages/fleet/test/born-again.test.ts
+++ b/packages/fleet/test/born-again.test.ts
@@ -62,7 +62,7 @@
       const former = states.get('i')
       const state = states.getOrCreate(server(second), 10)
       expect(state).to.not.equal(former)
-      expect(state).to.include({ holding: undefined, load: 0 })
+      expect(state).to.include({ engineReport: undefined, load: 0 })
       expect(states.holders.of('m/a1').size).to.equal(0)
     })
 
--- a/packages/fleet/test/freshness.test.ts
+++ b/packages/fleet/test/freshness.test.ts
@@ -148,7 +148,7 @@
 
   it('is not needed if the table has no teams or no revocation bound is set', () => {
     offer({})
-    expect(new KeyLease(facts, () => ({ revokeMs: 5000 }))).to.include({ held: true, askDue: false, watchDue: false })
+    expect(new KeyLease(facts, () => ({ revokeMs: 5000 }))).to.include({ held: true, proofDue: false, watchDue: false })
     facts = new Facts(quietLog, () => 1000)
     offer({ teams: [{ name: 'red', keys: [hashKey('k')] }] })
     expect(new KeyLease(facts, () => ({}))).to.include({ held: true, watchDue: false })
@@ -157,14 +157,14 @@
   it('is renewed before it expires, and expires well before the bound', async () => {
     offer({ teams: [{ name: 'red', keys: [hashKey('k')] }] })
     const lease = new KeyLease(facts, () => ({ revokeMs: 5000 }))
-    expect(lease).to.include({ held: false, askDue: true, watchDue: true })
+    expect(lease).to.include({ held: false, proofDue: true, watchDue: true })
     facts.freshness.prove(performance.now())
     await time.pass(1400)
-    expect(lease).to.include({ held: true, askDue: false })
+    expect(lease).to.include({ held: true, proofDue: false })
     await time.pass(200)
-    expect(lease).to.include({ held: true, askDue: true, askFarDue: false })
+    expect(lease).to.include({ held: true, proofDue: true, remoteProofDue: false })
     await time.pass(1000)
-    expect(lease).to.include({ held: true, askFarDue: true, watchDue: true })
+    expect(lease).to.include({ held: true, remoteProofDue: true, watchDue: true })
     await time.pass(1500)
     expect(lease.held).to.equal(false)
   })
