--- a/packages/decisions/src/bounded-load.ts
+++ b/packages/decisions/src/bounded-load.ts
@@ -19,7 +19,7 @@
 /** A process below this multiple of the average utilization is selected by its position on the list. */
 const loadFactor = 1.25
 
-export const utilizationOf = ({ reportedRequests: reported, sentSinceReport: sentSince, capacity }: Occupancy): number => (reported + sentSince) / capacity
+export const utilizationOf = ({ reportedRequests, sentSinceReport, capacity }: Occupancy): number => (reportedRequests + sentSinceReport) / capacity
 
 /** The index in `list` of the process to send to; -1 for an empty list. */
 export const selectBoundedLoad = (list: readonly Occupancy[]): number => {
--- a/packages/decisions/src/crash-history.ts
+++ b/packages/decisions/src/crash-history.ts
@@ -7,8 +7,8 @@
  * for a short time and three for a long one. Crashes whose runs overlap count as one, as a single fault may bring down many servers
  * at the same time. A run that completes shows that the request crashes no server, and discards all crashes before it.
  *
- * When a quarantine expires, the request isn't released: its caller may retry it through all entry processes at the same
- * moment. One run of it is allowed across all of them, as a probe, and the outcome of the probe decides.
+ * An expired quarantine doesn't release the request, since its caller may retry it through all entry processes at the same moment.
+ * One run of it is allowed across all of them, as a probe, and the outcome of the probe decides.
  */
 import type { RequestFingerprint } from '@finchpitch/core'
 
@@ -79,7 +79,7 @@
   leftMs: number
 }
 
-/** Reports of the same probe that arrive by way of different processes lie less than this apart. */
+/** Reports of the same probe that arrive by way of different processes differ by less than this in its start time. */
 const sameProbeMs = 1000
 
 /** How often expired records are searched for. */
@@ -152,7 +152,7 @@
     const record = this.#records.get(fingerprint)
     if (record === undefined) return undefined
     const consecutive = consecutiveCrashes(this.#unexpired(record, now))
-    const leftMs = Math.max(this.#crashHoldUntil(consecutive), this.#probeHoldUntil(record)) - now
+    const leftMs = Math.max(this.#crashQuarantineUntil(consecutive), this.#probeQuarantineUntil(record)) - now
     return leftMs > 0 ? { servers: consecutive.map(crash => crash.server), leftMs } : undefined
   }
 
@@ -191,28 +191,28 @@
 
   /** Stores a changed record as the most recently updated one. */
   #update (fingerprint: RequestFingerprint, record: RequestRecord, now: number): void {
-    const holdUntil = Math.max(this.#crashHoldUntil(consecutiveCrashes(this.#unexpired(record, now))), this.#probeHoldUntil(record))
-    if (holdUntil > -Infinity) record.probeOnlyUntil = Math.max(record.probeOnlyUntil, holdUntil + this.limits.keepMs)
+    const quarantinedUntil = Math.max(this.#crashQuarantineUntil(consecutiveCrashes(this.#unexpired(record, now))), this.#probeQuarantineUntil(record))
+    if (quarantinedUntil > -Infinity) record.probeOnlyUntil = Math.max(record.probeOnlyUntil, quarantinedUntil + this.limits.keepMs)
     this.#records.delete(fingerprint)
     this.#records.set(fingerprint, record)
     this.expire(now)
   }
 
   /** Until when pending probes quarantine the request. */
-  #probeHoldUntil ({ pendingProbes }: RequestRecord): number {
+  #probeQuarantineUntil ({ pendingProbes }: RequestRecord): number {
     const { probes, probeMs, keepMs } = this.limits
     if (pendingProbes.length === 0) return -Infinity
     return Math.max(...pendingProbes) + (pendingProbes.length >= probes ? keepMs : probeMs)
   }
 
   /** Until when consecutive crashes quarantine the request. */
-  #crashHoldUntil (consecutive: readonly Crash[]): number {
-    const { shortThreshold: ends, shortQuarantineMs: holdMs, longThreshold: sureEnds, keepMs } = this.limits
+  #crashQuarantineUntil (consecutive: readonly Crash[]): number {
+    const { shortThreshold, shortQuarantineMs, longThreshold, keepMs } = this.limits
     const last = consecutive.at(-1)
-    if (last === undefined || consecutive.length < ends) return -Infinity
+    if (last === undefined || consecutive.length < shortThreshold) return -Infinity
     // Once this crash has expired, too few are left for the long quarantine.
-    const earliestNeeded = consecutive.at(-sureEnds)
-    return Math.max(last.endedAt + holdMs, earliestNeeded === undefined ? -Infinity : earliestNeeded.endedAt + keepMs)
+    const earliestNeeded = consecutive.at(-longThreshold)
+    return Math.max(last.endedAt + shortQuarantineMs, earliestNeeded === undefined ? -Infinity : earliestNeeded.endedAt + keepMs)
   }
 
   #unexpired ({ crashes }: RequestRecord, now: number): Crash[] {
--- a/packages/decisions/src/eviction.ts
+++ b/packages/decisions/src/eviction.ts
@@ -36,9 +36,9 @@
 }
 
 /** The label of the adapter to evict; `undefined` while all are in use. */
-export const selectVictim = (residents: readonly EvictionCandidate[]): string | undefined => {
-  const reloadCost = (resident: EvictionCandidate): number => resident.popularity * resident.loadMs
-  const idle = residents.filter(resident => resident.pins === 0)
-  return idle.reduce<EvictionCandidate | undefined>((cheapest, resident) =>
-    cheapest === undefined || reloadCost(resident) < reloadCost(cheapest) ? resident : cheapest, undefined)?.label
+export const selectVictim = (candidates: readonly EvictionCandidate[]): string | undefined => {
+  const reloadCost = (candidate: EvictionCandidate): number => candidate.popularity * candidate.loadMs
+  const idle = candidates.filter(candidate => candidate.pins === 0)
+  return idle.reduce<EvictionCandidate | undefined>((cheapest, candidate) =>
+    cheapest === undefined || reloadCost(candidate) < reloadCost(cheapest) ? candidate : cheapest, undefined)?.label
 }
--- a/packages/decisions/src/expiring-tokens.ts
+++ b/packages/decisions/src/expiring-tokens.ts
@@ -10,7 +10,7 @@
 /** Tokens that were earned at about the same time. */
 export interface TokenSlice {
   tokens: number
-  /** When the oldest of the tokens was earned, on the holder's clock of elapsed time. */
+  /** When the oldest of the tokens was earned, on the boot-time clock of the process that holds them. */
   earnedAt: number
 }
 
--- a/packages/decisions/src/queue.ts
+++ b/packages/decisions/src/queue.ts
@@ -53,10 +53,10 @@
 }
 
 /** Whether `a` is served before `b`. */
-export const precedes = (a: QueuedRequest, b: QueuedRequest, shares: TeamUsage, now: number): boolean => {
+export const precedes = (a: QueuedRequest, b: QueuedRequest, usage: TeamUsage, now: number): boolean => {
   const byClass = rank(a, now) - rank(b, now)
   if (byClass !== 0) return byClass < 0
-  const byUsage = shares.usageOf(a.team) - shares.usageOf(b.team)
+  const byUsage = usage.usageOf(a.team) - usage.usageOf(b.team)
   if (byUsage !== 0) return byUsage < 0
   return a.deadline < b.deadline
 }
--- a/packages/decisions/src/retry-window.ts
+++ b/packages/decisions/src/retry-window.ts
@@ -1,10 +1,10 @@
 /**
- * A retry budget over a sliding window: retries are limited to a ratio of the first tries in the same window, plus a fixed slack
+ * A retry budget over a sliding window: retries are limited to a ratio of the first attempts in the same window, plus a fixed slack
  * that allows single retries when there is little traffic.
  */
 
 export interface RetryLimits {
-  /** Retries allowed for each first try. */
+  /** Retries allowed for each first attempt. */
   ratio: number
   /** Retries allowed per window whatever the traffic. */
   slack: number
@@ -13,7 +13,7 @@
 
 interface Bucket {
   at: number
-  firstTries: number
+  firstAttempts: number
   retries: number
 }
 
@@ -23,17 +23,17 @@
 export class RetryWindow {
   #buckets: Bucket[] = []
 
-  /** Counts a first try. */
+  /** Counts a first attempt. */
   recordFirstAttempt (now: number, windowMs: number): void {
-    this.#currentBucket(now, windowMs).firstTries += 1
+    this.#currentBucket(now, windowMs).firstAttempts += 1
   }
 
   /** Counts a retry if the budget allows one; returns false if it doesn't. */
   tryRetry (now: number, { ratio, slack, windowMs }: RetryLimits): boolean {
     const bucket = this.#currentBucket(now, windowMs)
-    const firstTries = this.#buckets.reduce((sum, each) => sum + each.firstTries, 0)
+    const firstAttempts = this.#buckets.reduce((sum, each) => sum + each.firstAttempts, 0)
     const retries = this.#buckets.reduce((sum, each) => sum + each.retries, 0)
-    if (retries + 1 > ratio * firstTries + slack) return false
+    if (retries + 1 > ratio * firstAttempts + slack) return false
     bucket.retries += 1
     return true
   }
@@ -43,7 +43,7 @@
     this.#buckets = this.#buckets.filter(each => now - each.at < windowMs + bucketMs)
     const last = this.#buckets.at(-1)
     if (last !== undefined && now - last.at < bucketMs) return last
-    const bucket = { at: now, firstTries: 0, retries: 0 }
+    const bucket = { at: now, firstAttempts: 0, retries: 0 }
     this.#buckets.push(bucket)
     return bucket
   }
--- a/packages/decisions/src/server-backoff.ts
+++ b/packages/decisions/src/server-backoff.ts
@@ -1,12 +1,12 @@
 /**
  * A backoff that a backend server requested: whether requests may be sent to it, and how many at once after the backoff.
  *
- * An overloaded server rejects requests and names a time in which it wants none. That is no failure of the server and says nothing
+ * An overloaded server rejects requests and states how long it wants none. That is no failure of the server and says nothing
  * about the request, so failures are counted elsewhere. If all waiting requests were sent to it when the backoff ends, it would ask
  * for another one. So it first gets a single request, and its concurrency limit ramps up once that request has been answered.
  */
 
-/** Longer backoffs are cut to this; then one request finds out whether the server still wants none. */
+/** Longer backoffs are capped at this; then one request finds out whether the server still asks for backoff. */
 export const maxBackoffMs = 600_000
 
 /** After the first answer, the concurrency limit ramps up from one request to all slots over this time. */
--- a/packages/decisions/src/token-bucket.ts
+++ b/packages/decisions/src/token-bucket.ts
@@ -25,14 +25,14 @@
   }
 }
 
-/** Retries may add a fifth to the load of first tries, beyond the tokens that the bucket starts with. */
+/** Retries may add a fifth to the load of first attempts, beyond the tokens that the bucket starts with. */
 const tokensPerRequest = 0.2
 const maxTokens = 20
 
 export class RetryBudget {
   #tokens = maxTokens
 
-  /** Counts a first try. */
+  /** Counts a first attempt. */
   deposit (): void {
     this.#tokens = Math.min(maxTokens, this.#tokens + tokensPerRequest)
   }
--- a/packages/decisions/test/bounded-load.test.ts
+++ b/packages/decisions/test/bounded-load.test.ts
@@ -1,7 +1,7 @@
 import { TokenBucket, RetryBudget, selectBoundedLoad } from '@finchpitch/decisions'
 import { expect } from 'chai'
 
-const at = (reported: number, sentSince = 0): Parameters<typeof selectBoundedLoad>[0][number] => ({ reportedRequests: reported, sentSinceReport: sentSince, capacity: 10 })
+const at = (reportedRequests: number, sentSinceReport = 0): Parameters<typeof selectBoundedLoad>[0][number] => ({ reportedRequests, sentSinceReport, capacity: 10 })
 
 describe('hashing with bounded loads', () => {
   it('selects the first process while its utilization is within the bound', () => {
--- a/packages/decisions/test/expiring-tokens.test.ts
+++ b/packages/decisions/test/expiring-tokens.test.ts
@@ -3,28 +3,28 @@
 
 describe('quota tokens by age', () => {
   it('are taken oldest first', () => {
-    const stock = new ExpiringTokens()
-    stock.addAll([{ tokens: 10, earnedAt: 300 }, { tokens: 10, earnedAt: 100 }, { tokens: 10, earnedAt: 200 }])
-    expect(stock.takeUpTo(15, 0)).to.deep.equal([{ tokens: 10, earnedAt: 100 }, { tokens: 5, earnedAt: 200 }])
-    expect(stock.takeUpTo(99, 0)).to.deep.equal([{ tokens: 5, earnedAt: 200 }, { tokens: 10, earnedAt: 300 }])
+    const pool = new ExpiringTokens()
+    pool.addAll([{ tokens: 10, earnedAt: 300 }, { tokens: 10, earnedAt: 100 }, { tokens: 10, earnedAt: 200 }])
+    expect(pool.takeUpTo(15, 0)).to.deep.equal([{ tokens: 10, earnedAt: 100 }, { tokens: 5, earnedAt: 200 }])
+    expect(pool.takeUpTo(99, 0)).to.deep.equal([{ tokens: 5, earnedAt: 200 }, { tokens: 10, earnedAt: 300 }])
   })
 
   it('are taken in full or not at all, without expired ones', () => {
-    const stock = new ExpiringTokens()
-    stock.add(10, 100)
-    stock.add(10, 200)
-    expect(stock.take(21, 0)).to.equal(undefined)
-    expect(stock.take(11, 150)).to.equal(undefined)
-    expect(stock.take(10, 150)).to.deep.equal([{ tokens: 10, earnedAt: 200 }])
+    const pool = new ExpiringTokens()
+    pool.add(10, 100)
+    pool.add(10, 200)
+    expect(pool.take(21, 0)).to.equal(undefined)
+    expect(pool.take(11, 150)).to.equal(undefined)
+    expect(pool.take(10, 150)).to.deep.equal([{ tokens: 10, earnedAt: 200 }])
   })
 
   it('never become younger, and form few slices when many are added out of order', () => {
-    const stock = new ExpiringTokens()
+    const pool = new ExpiringTokens()
     let seed = 7
     const random = (): number => { seed = (seed * 48_271) % 2_147_483_647; return seed / 2_147_483_647 }
-    for (let each = 0; each < 50_000; each++) stock.add(1, 1000 + random() * 3000)
-    expect(stock.total(0)).to.equal(50_000)
-    const slices = stock.takeUpTo(Infinity, 0)
+    for (let each = 0; each < 50_000; each++) pool.add(1, 1000 + random() * 3000)
+    expect(pool.total(0)).to.equal(50_000)
+    const slices = pool.takeUpTo(Infinity, 0)
     expect(slices).to.have.length.at.most(31)
     const early = slices.filter(({ earnedAt }) => earnedAt < 2000).reduce((sum, { tokens }) => sum + tokens, 0)
     expect(early).to.be.within(16_000, 17_500)
@@ -33,9 +33,9 @@
   it('have a lifetime with which the rate times window and lifetime stays within the bound', () => {
     for (const perSecond of [29_000, 206_000]) {
       const bound = { windowMs: 8000, overage: 0.1, slack: 110_000 }
-      const life = tokenLifetimeMs({ perSecond, burst: perSecond }, bound)
-      expect(life).to.be.greaterThan(1000)
-      expect(perSecond * (8000 + life) / 1000).to.be.lessThan((perSecond * 8 + perSecond) * 1.1 + 110_000)
+      const lifetimeMs = tokenLifetimeMs({ perSecond, burst: perSecond }, bound)
+      expect(lifetimeMs).to.be.greaterThan(1000)
+      expect(perSecond * (8000 + lifetimeMs) / 1000).to.be.lessThan((perSecond * 8 + perSecond) * 1.1 + 110_000)
     }
     const tight = { windowMs: 8000, overage: 0, slack: 0 }
     const rate = { perSecond: 100, burst: 0 }
--- a/packages/decisions/test/outlier-detector.test.ts
+++ b/packages/decisions/test/outlier-detector.test.ts
@@ -36,7 +36,7 @@
 describe('retry window', () => {
   const share = { ratio: 0.2, slack: 2, windowMs: 10_000 }
 
-  it('allows the ratio of first tries plus the slack in any window', () => {
+  it('allows the ratio of first attempts plus the slack in any window', () => {
     const window = new RetryWindow()
     for (let each = 0; each < 10; each++) window.recordFirstAttempt(0, share.windowMs)
     const granted = Array.from({ length: 10 }, () => window.tryRetry(1, share)).filter(Boolean)
--- a/packages/decisions/test/replay/crash-replay.test.ts
+++ b/packages/decisions/test/replay/crash-replay.test.ts
@@ -10,15 +10,15 @@
 const replayMean = (limits: QuarantineLimits, pattern: CrashPattern): CrashCounts => {
   const sum: CrashCounts = { lost: 0, refused: 0, crashes: 0 }
   for (let seed = 1; seed <= seeds; seed++) {
-    const { lost, refused, crashes: ends } = new CrashReplay(limits, pattern, seed).simulate()
+    const { lost, refused, crashes } = new CrashReplay(limits, pattern, seed).simulate()
     sum.lost += lost / seeds
     sum.refused += refused / seeds
-    sum.crashes += ends / seeds
+    sum.crashes += crashes / seeds
   }
   return sum
 }
 
-const format = ({ lost, refused, crashes: ends }: CrashCounts): string => `lost ${lost.toFixed(1)} (refused ${refused.toFixed(1)}), engine crashes ${ends.toFixed(1)}`
+const format = ({ lost, refused, crashes }: CrashCounts): string => `lost ${lost.toFixed(1)} (refused ${refused.toFixed(1)}), engine crashes ${crashes.toFixed(1)}`
 
 describe('a replay of engine crashes', function () {
   this.timeout(60_000)
--- a/packages/decisions/test/replay/crash-replay.ts
+++ b/packages/decisions/test/replay/crash-replay.ts
@@ -47,23 +47,23 @@
 
 export class CrashReplay {
   readonly counts: CrashCounts = { lost: 0, refused: 0, crashes: 0 }
-  readonly #ledger: CrashHistory
+  readonly #history: CrashHistory
   readonly #random
   readonly #engines: Array<{ attempts: Set<Attempt>, availableAt: number, incarnation: number }>
   #events: Array<{ at: number, run: () => void }> = []
   #now = 0
 
   constructor (limits: QuarantineLimits, private readonly pattern: CrashPattern, seed: number) {
-    this.#ledger = new CrashHistory(limits)
+    this.#history = new CrashHistory(limits)
     this.#random = xoroshiro128plus(seed)
     this.#engines = Array.from({ length: engineCount }, () => ({ attempts: new Set<Attempt>(), availableAt: 0, incarnation: 0 }))
   }
 
   simulate (): CrashCounts {
-    const { fatalIntervalMs: fatalEveryMs, crashIntervalMs: endEveryMs, simultaneousCrashes: together = 1 } = this.pattern
+    const { fatalIntervalMs, crashIntervalMs, simultaneousCrashes = 1 } = this.pattern
     for (let at = 0, index = 0; at < durationMs; at += arrivalMs, index++) this.#schedule(at, () => this.#arrive(index))
-    if (fatalEveryMs !== undefined) for (let at = 5000; at < durationMs; at += fatalEveryMs) this.#schedule(at, () => this.#send({ fingerprint: fingerprintOf('fatal'), retriesLeft: 1, fatal: true }))
-    if (endEveryMs !== undefined) for (let at = 5000; at < durationMs; at += endEveryMs) this.#schedule(at, () => { for (let each = 0; each < together; each++) this.#crash(this.#pick(this.#available)) })
+    if (fatalIntervalMs !== undefined) for (let at = 5000; at < durationMs; at += fatalIntervalMs) this.#schedule(at, () => this.#send({ fingerprint: fingerprintOf('fatal'), retriesLeft: 1, fatal: true }))
+    if (crashIntervalMs !== undefined) for (let at = 5000; at < durationMs; at += crashIntervalMs) this.#schedule(at, () => { for (let each = 0; each < simultaneousCrashes; each++) this.#crash(this.#pick(this.#available)) })
     this.#events.sort((a, b) => b.at - a.at)
     for (let event = this.#events.pop(); event !== undefined; event = this.#events.pop()) {
       this.#now = event.at
@@ -103,11 +103,11 @@
   }
 
   #send (request: Request): void {
-    if (this.#ledger.quarantine(request.fingerprint, this.#now) !== undefined) {
+    if (this.#history.quarantine(request.fingerprint, this.#now) !== undefined) {
       if (!request.fatal) this.counts.refused += 1
       return this.#lose(request)
     }
-    if (this.#ledger.probeDue(request.fingerprint, this.#now)) this.#ledger.recordProbe({ fingerprint: request.fingerprint, at: this.#now }, this.#now)
+    if (this.#history.probeDue(request.fingerprint, this.#now)) this.#history.recordProbe({ fingerprint: request.fingerprint, at: this.#now }, this.#now)
     const index = this.#pick(this.#available)
     const engine = this.#engines[index]
     const attempt = { ask: request, sentAt: this.#now }
@@ -117,7 +117,7 @@
       if (engine?.attempts.has(attempt) !== true) return
       if (request.fatal) return this.#crash(index)
       engine.attempts.delete(attempt)
-      this.#ledger.sound({ fingerprint: request.fingerprint, endedAt: this.#now })
+      this.#history.sound({ fingerprint: request.fingerprint, endedAt: this.#now })
     })
   }
 
@@ -132,7 +132,7 @@
     engine.incarnation += 1
     engine.availableAt = this.#now + restartMs
     for (const { ask: request, sentAt } of engine.attempts) {
-      this.#ledger.recordCrash({ fingerprint: request.fingerprint, server: `${index} ${engine.incarnation}`, sentAt, endedAt: this.#now }, this.#now)
+      this.#history.recordCrash({ fingerprint: request.fingerprint, server: `${index} ${engine.incarnation}`, sentAt, endedAt: this.#now }, this.#now)
       if (request.retriesLeft === 0) this.#lose(request)
       else this.#schedule(this.#now + retryDelayMs, () => this.#send({ ...request, retriesLeft: request.retriesLeft - 1 }))
     }
--- a/packages/fleet/src/attempt-reports.ts
+++ b/packages/fleet/src/attempt-reports.ts
@@ -1,6 +1,6 @@
 /**
- * Results of attempts that processes share with each other: server crashes during requests, requests that ran without a crash,
- * rate limits that servers reported, and probes of suspected requests.
+ * Attempt reports, by which processes share what their attempts observed: crashes of servers, runs that completed, limits that
+ * servers advertise, and probes of requests whose quarantine has expired.
  *
  * Times are sent as ages, so no clocks are compared. A message that is delayed makes its events seem later than they were. This can
  * only make two crashes appear to overlap that did not, so that they count as one.
@@ -9,7 +9,7 @@
 import { mostCrashes, mostLimits, type Channel, type FrameOf } from '@finchpitch/wire'
 import { nowMs } from './clock.js'
 
-/** A batch of such results: the recent ones, or everything that a process knows. */
+/** A batch of reports: the recent ones, or everything that a process knows. */
 export interface AttemptReports {
   crashes: readonly Crash[]
   sound: readonly CompletedRun[]
@@ -18,12 +18,12 @@
 }
 
 /**
- * How long results may be held back for batching. Crashes are urgent, since the request may already be retried elsewhere, and so are
- * limits, since the server is overloaded. That a request ran without a crash only matters for its next crash. These results come
- * in bursts: after all engines of a failure domain crash, some hundred retries produce one each.
+ * How long reports may be held back for batching. Crashes are urgent, since the request may already be retried elsewhere, and so are
+ * limits, since the server is overloaded. A completed run of a request only matters for its next crash. Completed runs come in bursts:
+ * after all engines of a failure domain crash, some hundred retries produce one each.
  */
-export const batchDelayMs = ({ crashes, limits, probes }: AttemptReports, crashesMs: number): number => crashes.length + limits.length + probes.length > 0 ? crashesMs : soundRunsMs
-const soundRunsMs = 400
+export const batchDelayMs = ({ crashes, limits, probes }: AttemptReports, crashesMs: number): number => crashes.length + limits.length + probes.length > 0 ? crashesMs : completedRunsMs
+const completedRunsMs = 400
 
 export const noReports: AttemptReports = { crashes: [], sound: [], limits: [], probes: [] }
 
@@ -33,7 +33,7 @@
 
 export const hasNoReports = ({ crashes, sound, limits, probes }: AttemptReports): boolean => [crashes, sound, limits, probes].every(each => each.length === 0)
 
-/** Converts results to frames: as many as the size limits of a frame require. */
+/** Converts reports to frames: as many as the size limits of a frame require. */
 export const reportFrames = ({ crashes, sound, limits, probes }: AttemptReports): Array<FrameOf<'crashes'>> => {
   const now = nowMs()
   const agoMs = (at: number): number => Math.max(0, now - at)
@@ -51,25 +51,25 @@
 const sliceOf = <T>(all: readonly T[], part: number, most: number): readonly T[] => all.slice(part * most, (part + 1) * most)
 
 /** Sends all known crashes and probes to a newly connected peer, which may have restarted and lost its own. */
-export const sendKnownCrashes = (ledger: CrashHistory, peer: Channel): void => {
-  for (const frame of reportFrames({ ...noReports, crashes: ledger.crashes(nowMs()), probes: ledger.probes() })) peer.send(frame)
+export const sendKnownCrashes = (history: CrashHistory, peer: Channel): void => {
+  for (const frame of reportFrames({ ...noReports, crashes: history.crashes(nowMs()), probes: history.probes() })) peer.send(frame)
 }
 
 /** Sends all known limits to a newly connected peer. */
-export const sendKnownLimits = (ledger: AdvertisedLimits, peer: Channel): void => {
-  for (const frame of reportFrames({ ...noReports, limits: ledger.limits() })) peer.send(frame)
+export const sendKnownLimits = (advertised: AdvertisedLimits, peer: Channel): void => {
+  for (const frame of reportFrames({ ...noReports, limits: advertised.limits() })) peer.send(frame)
 }
 
-/** Records crashes, crash-free runs and probes from a peer's frame. Returns those that were new. */
-export const recordCrashes = (ledger: CrashHistory, frame: FrameOf<'crashes'>): Omit<AttemptReports, 'limits'> => {
+/** Records crashes, completed runs and probes from a peer's frame. Returns those that were new. */
+export const recordCrashes = (history: CrashHistory, frame: FrameOf<'crashes'>): Omit<AttemptReports, 'limits'> => {
   const now = nowMs()
   const crashes = frame.crashes.map(([fingerprint, server, sentAgoMs, endedAgoMs]) => ({ fingerprint, server, sentAt: now - sentAgoMs, endedAt: now - endedAgoMs }))
-  const sound = frame.sound.map(([fingerprint, agoMs]) => ({ fingerprint, endedAt: now - agoMs }))
+  const completedRuns = frame.sound.map(([fingerprint, agoMs]) => ({ fingerprint, endedAt: now - agoMs }))
   const probes = (frame.probes ?? []).map(([fingerprint, agoMs]) => ({ fingerprint, at: now - agoMs }))
   return {
-    probes: probes.filter(probe => ledger.recordProbe(probe, now)),
-    crashes: crashes.filter(crash => ledger.recordCrash(crash, now)),
-    sound: sound.filter(run => ledger.sound(run))
+    probes: probes.filter(probe => history.recordProbe(probe, now)),
+    crashes: crashes.filter(crash => history.recordCrash(crash, now)),
+    sound: completedRuns.filter(run => history.sound(run))
   }
 }
 
--- a/packages/fleet/src/entry/admission.ts
+++ b/packages/fleet/src/entry/admission.ts
@@ -39,12 +39,12 @@
   tableConfirmed: boolean
 }
 
-export const admit = (routes: RouteIndex, { host, path, credential, tableConfirmed: confirmed }: AdmissionRequest): Admission | Denial => {
+export const admit = (routes: RouteIndex, { host, path, credential, tableConfirmed }: AdmissionRequest): Admission | Denial => {
   const route = routes.find(host, path)
   if (route === undefined) return { type: 'denied', reason: 'no_route', route }
   const team = credential.type === 'key' ? routes.teamOf(credential.hash) : undefined
   const keyed = team !== undefined || (credential.type === 'key' && route.public !== true)
-  if (routes.requiresKey && keyed && !confirmed) return { type: 'denied', reason: 'keys_not_confirmed', route }
+  if (routes.requiresKey && keyed && !tableConfirmed) return { type: 'denied', reason: 'keys_not_confirmed', route }
   if (team === undefined && routes.requiresKey && route.public !== true) return { type: 'denied', reason: 'key_not_known', route }
   return { type: 'admitted', route, team, priority: team?.priority ?? route.priority }
 }
--- a/packages/fleet/src/entry/attempt.ts
+++ b/packages/fleet/src/entry/attempt.ts
@@ -49,7 +49,7 @@
   /** The head of the response arrived. */
   onResponse: () => void
   /** What the server reports about itself in the response headers; called before the response is validated. */
-  onServerFeedback: (word: ServerFeedback) => void
+  onServerFeedback: (feedback: ServerFeedback) => void
 }
 
 export type AttemptResult =
@@ -86,12 +86,12 @@
   const abortConnect = (): void => {
     if (!connected) request.destroy(new Error(`connection not established within ${connectMs} ms`))
   }
-  const finish = (end: AttemptResult): void => {
+  const finish = (result: AttemptResult): void => {
     if (finished) return
     finished = true
     clearTimeout(connectTimer)
     unsubscribe()
-    resolve(end)
+    resolve(result)
   }
   const cancel = (): void => {
     finish({ type: 'cancelled', sent: connected })
@@ -124,8 +124,8 @@
     finish({ type: options.delivery.started ? 'interrupted' : 'broken', detail: error.message })
   })
   request.on('response', response => {
-    const word = readServerFeedback(response, options.names, options.serverId)
-    if (word !== undefined) options.onServerFeedback(word)
+    const feedback = readServerFeedback(response, options.names, options.serverId)
+    if (feedback !== undefined) options.onServerFeedback(feedback)
     options.onResponse()
     // The unsent rest of a request that was answered early must not be written ahead of the next one on this connection.
     if (!request.writableFinished) response.once('end', () => request.destroy())
--- a/packages/fleet/src/entry/balancer.ts
+++ b/packages/fleet/src/entry/balancer.ts
@@ -19,8 +19,8 @@
 export type AdapterPlacement = Pick<SideLinks, 'orderable' | 'warm' | 'awaits' | 'want' | 'usesChanged'>
 
 /**
- * A prompt with fewer unprocessed tokens ahead of it than this share of its own is taken as uncontended, and its prefill time
- * as its own.
+ * A prompt is taken as uncontended, so that its prefill time is its own, if the tokens still to be prefilled ahead of it are fewer
+ * than this share of its tokens.
  */
 const uncontendedShare = 0.1
 /**
@@ -28,9 +28,9 @@
  * entries together, than it processes at once.
  */
 const rampSpreadMs = 100
-/** Upper bound of the delay added for each request queued ahead, for servers whose limit is close to 0. */
+/** Upper bound of the delay added for each request queued ahead, for servers whose advertised limit is close to 0. */
 const maxLimitedIntervalMs = 5000
-/** Share of the version update limit during which the previous version may still be used. */
+/** Share of the time allowed for a version update (`versionMs`) in which the previous version may still be used. */
 const previousVersionShare = 0.4
 
 /** What all candidates of one selection have in common. */
@@ -38,7 +38,7 @@
   now: number
   /** The oldest version of the key that may be used. */
   oldestVersion: number
-  /** Don't load adapters into rate-limited engines, as there are others. */
+  /** Don't load adapters into engines that advertise a limit, as there are others. */
   avoidLimited: boolean
 }
 
@@ -58,7 +58,7 @@
 
 export class Balancer {
   readonly states = new ServerStates(id => this.links().usesChanged(id))
-  /** Prefill rate over all engines, from prompts with few unprocessed tokens ahead of them. */
+  /** Prefill rate over all engines, from prompts with few tokens to prefill ahead of them. */
   readonly prefillRate = new PrefillRate()
   /** Servers in backoff, or whose concurrency still ramps up after one. */
   readonly #restricted = new Set<string>()
@@ -71,7 +71,7 @@
     private readonly log: Log,
     /** Number of entries, as far as known. */
     private readonly entries: () => number = () => 1,
-    /** Servers that advertise a rate limit. */
+    /** Servers that advertise a limit, in short rate-limited servers. */
     private readonly serverLimits: LimitsView = noLimits
   ) {}
 
@@ -84,22 +84,22 @@
    * A rate-limited server is selected like any other while this entry may send it a request; what exceeds the limit goes to
    * the other servers of its service.
    */
-  choose (asked: SelectionRequest): Choice {
-    if (this.serverLimits.none) return this.#select(asked)
-    const choice = this.#select(asked)
+  choose (selection: SelectionRequest): Choice {
+    if (this.serverLimits.none) return this.#select(selection)
+    const choice = this.#select(selection)
     const server = choice.type === 'send' ? this.facts.servers.get(choice.id) : undefined
     if (server === undefined || this.serverLimits.state(server)?.ready !== false) return choice
-    const other = this.#select(asked, each => this.serverLimits.state(each)?.ready !== false)
-    return other.type === 'none' || other.type === 'resting' ? this.limitedChoice(asked.service.name) ?? other : other
+    const other = this.#select(selection, each => this.serverLimits.state(each)?.ready !== false)
+    return other.type === 'none' || other.type === 'resting' ? this.limitedChoice(selection.service.name) ?? other : other
   }
 
   /**
    * If the server that would be selected is rate-limited, waits until this entry may send it a request or the other entries
-   * have been asked for unused allowance. Resolves with the id of the server if it still may not be sent one.
+   * have been asked for their unused part of its limit. Resolves with the id of the server if it still may not be sent one.
    */
-  async awaitRateLimit (asked: SelectionRequest): Promise<string | undefined> {
+  async awaitRateLimit (selection: SelectionRequest): Promise<string | undefined> {
     if (this.serverLimits.none) return undefined
-    const choice = this.#select(asked)
+    const choice = this.#select(selection)
     const server = choice.type === 'send' ? this.facts.servers.get(choice.id) : undefined
     return server === undefined || await this.serverLimits.bring(server) ? undefined : server.id
   }
@@ -113,23 +113,23 @@
     return { type: 'limited', readyInMs, everyMs: Math.min(maxLimitedIntervalMs, 1000 / perSecond), reason: 'all servers name limits' }
   }
 
-  /** Whether the server advertises a rate limit. */
+  /** Whether the server advertises a limit. */
   isLimited (id: string): boolean {
     const server = this.facts.servers.get(id)
     return server !== undefined && this.serverLimits.state(server) !== undefined
   }
 
-  #select (asked: SelectionRequest, mayUse?: (server: BackendServer) => boolean): Choice {
-    const all = this.facts.eligibleServers(asked.service.name)
+  #select (selection: SelectionRequest, mayUse?: (server: BackendServer) => boolean): Choice {
+    const all = this.facts.eligibleServers(selection.service.name)
     const open = mayUse === undefined ? all : all.filter(mayUse)
-    const remaining = asked.excluded.size === 0 ? open : open.filter(server => !asked.excluded.has(server.id))
+    const remaining = selection.excluded.size === 0 ? open : open.filter(server => !selection.excluded.has(server.id))
     const servers = this.#restricted.size === 0 ? remaining : remaining.filter(server => this.#hasCapacity(server))
     if (servers.length === 0 && this.#restricted.size > 0) {
       const backoff = this.#backoffChoice(remaining.length > 0 ? remaining : open)
       if (backoff !== undefined) return backoff
     }
-    if (asked.key === undefined) return choosePlain(servers.map(server => this.#candidate(server, nowMs())), this.domain)
-    return this.#chooseEngine(servers, asked.key, asked)
+    if (selection.key === undefined) return choosePlain(servers.map(server => this.#candidate(server, nowMs())), this.domain)
+    return this.#chooseEngine(servers, selection.key, selection)
   }
 
   /**
@@ -139,11 +139,11 @@
    */
   backOff (server: BackendServer, state: ServerState, askedMs: number, request: string): void {
     if (this.states.get(server.id) !== state) return
-    const { backoff: rest } = state
+    const { backoff } = state
     const now = nowMs()
-    const started = rest.ask(askedMs + Math.random() * this.#maxJitterMs(server), now)
+    const started = backoff.ask(askedMs + Math.random() * this.#maxJitterMs(server), now)
     this.#restricted.add(server.id)
-    if (started) this.log.info('server.rests', { server: server.id, request, askedMs, untilMs: Math.round(rest.leftMs(now)) })
+    if (started) this.log.info('server.rests', { server: server.id, request, askedMs, untilMs: Math.round(backoff.leftMs(now)) })
   }
 
   /** Number of servers in backoff. */
@@ -152,7 +152,7 @@
     return [...this.#restricted].filter(id => this.states.get(id)?.backoff.active(now) === true).length
   }
 
-  /** Whether a request may be written to the server now: it is neither leaving nor in backoff. */
+  /** Whether a request may be written to the server now: it is neither draining nor in backoff. */
   isAvailable (server: BackendServer): boolean {
     return this.facts.servers.get(server.id)?.leaving !== true && !this.state(server).backoff.active(nowMs())
   }
@@ -176,8 +176,8 @@
 
   #hasCapacity (server: BackendServer): boolean {
     if (!this.#restricted.has(server.id)) return true
-    const { backoff: rest, inFlight } = this.state(server)
-    return inFlight < rest.concurrencyLimit(server.slots, nowMs())
+    const { backoff, inFlight } = this.state(server)
+    return inFlight < backoff.concurrencyLimit(server.slots, nowMs())
   }
 
   /** The choice when every one of `servers` is in backoff or at its ramp-up limit; `undefined` when other reasons exclude them. */
@@ -190,13 +190,13 @@
   }
 
   /** Considers the engines that hold the key first, and all engines only if none of those answers within the objective. */
-  #chooseEngine (servers: readonly BackendServer[], key: string, asked: SelectionRequest): Choice {
+  #chooseEngine (servers: readonly BackendServer[], key: string, selection: SelectionRequest): Choice {
     const ids = this.states.holders.of(key)
     if (ids.size > 0 && ids.size < servers.length) {
-      const choice = chooseEngine(this.#engineSelection(servers.filter(server => ids.has(server.id)), key, asked))
-      if (choice.type === 'send' && choice.expectedMs < asked.inTimeMs) return choice
+      const choice = chooseEngine(this.#engineSelection(servers.filter(server => ids.has(server.id)), key, selection))
+      if (choice.type === 'send' && choice.expectedMs < selection.inTimeMs) return choice
     }
-    return chooseEngine(this.#engineSelection(servers, key, asked))
+    return chooseEngine(this.#engineSelection(servers, key, selection))
   }
 
   /** Records that the first byte of an answer arrived. */
@@ -224,20 +224,20 @@
 
   /** Corrects the state of an engine that refused a request because it doesn't hold the key. */
   recordNotHeld (server: BackendServer, key: string): void {
-    const holding = this.states.get(server.id)?.engineReport
-    if (holding === undefined) return
-    const held = new Map(holding.held)
+    const engineReport = this.states.get(server.id)?.engineReport
+    if (engineReport === undefined) return
+    const held = new Map(engineReport.held)
     held.delete(key)
     this.states.updateHeld(server.id, held)
-    this.log.info('holding.corrected', { server: server.id, key, age: Math.round(nowMs() - holding.at) })
+    this.log.info('holding.corrected', { server: server.id, key, age: Math.round(nowMs() - engineReport.at) })
   }
 
-  #engineSelection (servers: readonly BackendServer[], key: string, asked: SelectionRequest): EngineSelection {
+  #engineSelection (servers: readonly BackendServer[], key: string, selection: SelectionRequest): EngineSelection {
     const now = nowMs()
     const oldestVersion = this.#oldestUsableVersion(key, now)
     const avoidLimited = !this.serverLimits.none && servers.some(server => this.serverLimits.state(server) === undefined)
-    const options = servers.map(server => this.#engineCandidate(server, key, asked, { now, oldestVersion, avoidLimited }))
-    return { candidates: options, domain: this.domain, key, inTimeMs: asked.inTimeMs }
+    const candidates = servers.map(server => this.#engineCandidate(server, key, selection, { now, oldestVersion, avoidLimited }))
+    return { candidates, domain: this.domain, key, inTimeMs: selection.inTimeMs }
   }
 
   /** The oldest version of the key that may be used. */
@@ -266,7 +266,7 @@
    */
   #engineCandidate (server: BackendServer, key: string, { promptTokens, priority }: SelectionRequest, { now, oldestVersion, avoidLimited }: SelectionContext): EngineCandidate {
     const state = this.state(server)
-    const { engineReport: holding } = state
+    const { engineReport } = state
     const links = this.links()
     const limits = this.serverLimits
     return {
@@ -275,11 +275,11 @@
       domain: server.domain,
       load: state.load,
       slots: server.slots,
-      unhealthy: state.outlier.ejected(now) || state.isUnresponsive(now) || holding?.reachable === false,
+      unhealthy: state.outlier.ejected(now) || state.isUnresponsive(now) || engineReport?.reachable === false,
       fallback: this.facts.isFallback(server.id),
-      holds: (holding?.held.get(key) ?? -1) >= oldestVersion,
+      holds: (engineReport?.held.get(key) ?? -1) >= oldestVersion,
       expectedMs: state.expectedMs(promptTokens, priority, now),
-      get coming () { return holding?.coming.has(key) === true || links.awaits(server, key) },
+      get coming () { return engineReport?.coming.has(key) === true || links.awaits(server, key) },
       get warm () { return links.warm(server, key) },
       get canRequestLoad () { return !(avoidLimited && limits.state(server) !== undefined) && links.orderable(server, key) }
     }
--- a/packages/fleet/src/entry/choice.ts
+++ b/packages/fleet/src/entry/choice.ts
@@ -2,8 +2,8 @@
  * Server selection: pure functions that pick the backend server for a request from a list of candidates.
  *
  * Plain servers are chosen by least load. An engine must hold the adapter; one in the entry's own failure domain is preferred,
- * since traffic between domains costs. Loading an adapter from the weight store costs more than some eight requests across
- * domains, so a rarely used adapter is used where it is, and loaded nearer only once it is requested repeatedly.
+ * since traffic between domains is charged. Loading an adapter from the weight store costs more than some eight requests across
+ * domains, so a rarely used adapter is used where it is, and loaded in the entry's domain only once it is requested repeatedly.
  */
 import { rendezvousScore, hashOf } from '@finchpitch/decisions'
 import { minBy } from '../min-by.js'
@@ -19,7 +19,7 @@
   slots: number
   /** Ejected as an outlier, unresponsive or unreachable: selected only as a last resort. */
   unhealthy: boolean
-  /** Its registration disappeared recently: selected only if no registered server is left. */
+  /** Its entry in the store vanished without notice: selected only if no listed server is left. */
   fallback: boolean
 }
 
@@ -46,7 +46,7 @@
   /** Every candidate is in backoff, which it asked for; the first accepts requests again in `readyInMs`. */
   | { type: 'resting', readyInMs: number, reason: string }
   /**
-   * Every candidate is rate-limited, and this entry may send none of them a request now: the first may be sent one in
+   * Every candidate advertises a limit, and this entry may send none of them a request now: the first may be sent one in
    * `readyInMs`, and then one more every `everyMs`.
    */
   | { type: 'limited', readyInMs: number, everyMs: number, reason: string }
@@ -68,20 +68,20 @@
  * adapter's requests stay where its prompts are cached.
  */
 const expectedStepMs = 50
-/** How much sooner an engine in another domain must be expected to answer, as traffic between domains costs. */
+/** How much sooner an engine in another domain must be expected to answer, as traffic between domains is charged. */
 const crossDomainPenaltyMs = 60
 
-/** The candidates that are healthy; if there are none, those that are registered; else all. */
-const usable = <T extends ServerCandidate>(options: readonly T[]): T[] => {
-  const healthy = options.filter(candidate => !candidate.unhealthy && !candidate.fallback)
+/** The candidates that are healthy; if there are none, those that are listed; else all. */
+const usable = <T extends ServerCandidate>(candidates: readonly T[]): T[] => {
+  const healthy = candidates.filter(candidate => !candidate.unhealthy && !candidate.fallback)
   if (healthy.length > 0) return healthy
-  const registered = options.filter(candidate => !candidate.fallback)
-  return registered.length > 0 ? registered : [...options]
+  const listed = candidates.filter(candidate => !candidate.fallback)
+  return listed.length > 0 ? listed : [...candidates]
 }
 
-export const choosePlain = (options: readonly ServerCandidate[], domain: string): Choice => {
-  if (options.length === 0) return { type: 'none', reason: 'no server of the service' }
-  const open = usable(options).filter(candidate => candidate.load < candidate.slots + plainQueueDepth)
+export const choosePlain = (candidates: readonly ServerCandidate[], domain: string): Choice => {
+  if (candidates.length === 0) return { type: 'none', reason: 'no server of the service' }
+  const open = usable(candidates).filter(candidate => candidate.load < candidate.slots + plainQueueDepth)
   const best = minBy(open, candidate => candidate.load + (candidate.domain === domain ? 0 : crossDomainLoadPenalty) + Math.random())
   if (best === undefined) return { type: 'full', reason: 'all servers are full' }
   return { type: 'send', id: best.id, reason: best.domain === domain ? 'least loaded near' : 'least loaded', expectedMs: 0 }
@@ -115,24 +115,24 @@
  * The engine expected to answer first; ties are broken by rendezvous hashing, so that the order changes only when engines join
  * or leave.
  */
-const soonest = (options: readonly EngineCandidate[], { key, domain }: EngineSelection): EngineCandidate | undefined => {
-  if (options.length < 2) return options[0]
+const soonest = (candidates: readonly EngineCandidate[], { key, domain }: EngineSelection): EngineCandidate | undefined => {
+  if (candidates.length < 2) return candidates[0]
   const keyHash = hashOf(key)
   const cost = (candidate: EngineCandidate): number =>
     Math.floor((candidate.expectedMs + (candidate.domain === domain ? 0 : crossDomainPenaltyMs)) / expectedStepMs) + rendezvousScore(keyHash, candidate.hash)
-  return minBy(options, cost)
+  return minBy(candidates, cost)
 }
 
 export const chooseEngine = (choice: EngineSelection): Choice => {
-  const { candidates: options } = choice
-  if (options.length === 0) return { type: 'none', reason: 'no engine of the service' }
-  const holders = usable(options.filter(candidate => candidate.holds))
+  const { candidates } = choice
+  if (candidates.length === 0) return { type: 'none', reason: 'no engine of the service' }
+  const holders = usable(candidates.filter(candidate => candidate.holds))
   const open = holders.filter(hasCapacity)
   const notBusy = soonest(open.filter(candidate => candidate.load < candidate.slots * busyThreshold), choice)
   const best = notBusy ?? soonest(open, choice)
   if (best !== undefined) return sendOrReplicate(best, notBusy === undefined, choice)
   const held = holders.length > 0
-  if (options.some(candidate => candidate.coming && !candidate.unhealthy)) return { type: 'bring', ask: undefined, held, reason: 'on its way' }
+  if (candidates.some(candidate => candidate.coming && !candidate.unhealthy)) return { type: 'bring', ask: undefined, held, reason: 'on its way' }
   const ask = loadTarget(choice)?.id
   if (ask !== undefined) return { type: 'bring', ask, held, reason: held ? 'its holders are full' : 'held nowhere' }
   if (held) return { type: 'full', reason: 'its holders are full' }
@@ -142,21 +142,21 @@
 
 /**
  * A request that would miss its objective at the best holder waits for a new replica if it would meet the objective there.
- * Otherwise an adapter with more prompts than one engine can process would stay on one engine until its batch is full.
+ * Otherwise an adapter with more prompts than one engine can prefill would stay on one engine until its batch is full.
  */
 const sendOrReplicate = (best: EngineCandidate, busy: boolean, choice: EngineSelection): Choice => {
-  const { domain, inTimeMs, candidates: options } = choice
+  const { domain, inTimeMs, candidates } = choice
   const { id, expectedMs } = best
   const reason = busy ? 'held, busy' : best.domain === domain ? 'held near' : 'held across'
   const send: Choice = { type: 'send', id, reason, expectedMs }
-  if (expectedMs < inTimeMs || options.some(candidate => candidate.coming && !candidate.unhealthy)) return send
+  if (expectedMs < inTimeMs || candidates.some(candidate => candidate.coming && !candidate.unhealthy)) return send
   const other = loadTarget(choice)
   const otherMs = other === undefined ? Infinity : firstTokenAfterLoadMs(other)
   if (otherMs > inTimeMs || otherMs + coldLoadPenaltyMs > expectedMs) return send
   return { type: 'bring', ask: other?.id, held: true, reason: 'its holders are slow' }
 }
 
-/** Time to the first token at an engine that has to load the adapter first; it processes the prompts ahead during the load. */
+/** Time to the first token at an engine that has to load the adapter first; it prefills the prompts ahead during the load. */
 const firstTokenAfterLoadMs = ({ warm, expectedMs }: EngineCandidate): number => Math.max(warm ? warmLoadMs : coldLoadMs, expectedMs)
 
 /**
@@ -164,8 +164,8 @@
  * the highest rendezvous affinity. All entries pick the same one, whatever their domain, so that simultaneous requests don't
  * create replicas: with a preferred engine per domain, 71.4% of 8,290 generations on 8 engines met the objective instead of 72.7%.
  */
-const loadTarget = ({ candidates: options, key }: EngineSelection): EngineCandidate | undefined => {
-  const eligible = options.filter(candidate =>
+const loadTarget = ({ candidates, key }: EngineSelection): EngineCandidate | undefined => {
+  const eligible = candidates.filter(candidate =>
     !candidate.holds && !candidate.coming && !candidate.unhealthy && !candidate.fallback && hasCapacity(candidate) && candidate.canRequestLoad)
   const keyHash = hashOf(key)
   const cost = (candidate: EngineCandidate): number =>
--- a/packages/fleet/src/entry/counters.ts
+++ b/packages/fleet/src/entry/counters.ts
@@ -53,19 +53,19 @@
 
   readonly serverCrashes = new Counter({
     name: 'finchpitch_server_ends_total',
-    help: 'Attempts that failed because their backend server terminated unexpectedly.',
+    help: 'Attempts that failed because their backend server crashed.',
     registers: [this.registry]
   })
 
   readonly quarantines = new Counter({
     name: 'finchpitch_quarantines_total',
-    help: 'Requests quarantined because backend servers terminated while running them.',
+    help: 'Requests quarantined because backend servers crashed while running them.',
     registers: [this.registry]
   })
 
   readonly rateLimited = new Counter({
     name: 'finchpitch_requests_held_back_total',
-    help: 'Times that a request was not sent to a backend server because of the rate limit that the server states.',
+    help: 'Times that a request was not sent to a backend server because of the limit that the server advertises.',
     registers: [this.registry]
   })
 }
--- a/packages/fleet/src/entry/first-attempt-estimator.ts
+++ b/packages/fleet/src/entry/first-attempt-estimator.ts
@@ -3,7 +3,7 @@
  *
  * Most callers of a route start with the same time-out, so a request that states less is a retry. The latency objective
  * runs from the caller's first attempt, which no request states. The estimate separates requests that are already late
- * from those that can still meet the objective (the ranking by urgency documents the measured gain).
+ * from those that can still meet the objective (`request-rank.ts` has the measured gain).
  */
 
 /** A remaining time this close to the maximum is a first attempt; the difference is network latency. */
--- a/packages/fleet/src/entry/local-replies.ts
+++ b/packages/fleet/src/entry/local-replies.ts
@@ -17,7 +17,7 @@
 /** An outage of the platform's store lasts seconds; a caller that retries sooner is refused again. */
 export const outageRetryAfterMs = 2000
 
-/** By then most probes have shown whether the request still terminates its server. */
+/** By then most probes have shown whether the request still crashes its server. */
 const probeRetryMs = 2000
 
 const finalStatuses = { no_route: 404, key_not_known: 401, bad_model: 400, too_large: 413 } as const
@@ -61,13 +61,13 @@
     return 'over_quota'
   }
 
-  /** Servers terminated while running it. It is refused until enough of those terminations are too old to count. */
+  /** Servers crashed while running it. It is refused until enough of these crashes are too old to count. */
   quarantined ({ servers, leftMs }: Quarantine): string {
     this.#rejectNotRun(503, `quarantined: ${servers.join(', ')} ended under it`, 'not run: servers ended under this request', Math.round(leftMs))
     return 'quarantined'
   }
 
-  /** Its quarantine has expired, and another entry is probing whether it still terminates its server. */
+  /** Its quarantine has expired, and another entry is probing whether it still crashes its server. */
   awaitProbe (): string {
     this.#rejectNotRun(503, 'quarantined: run elsewhere to see whether servers still end under it', 'not run: servers ended under this request', probeRetryMs)
     return 'quarantined'
--- a/packages/fleet/src/entry/outgoing-request.ts
+++ b/packages/fleet/src/entry/outgoing-request.ts
@@ -23,15 +23,15 @@
   resumeAfter: string | undefined
 }
 
-export const buildOutgoingRequest = (request: IncomingMessage, body: Buffer, names: HeaderNames, marks: OutgoingContext): OutgoingRequest => {
-  const headers = forwardedHeaders(request.rawHeaders, removedHeaders(names, marks))
-  headers.push(names.remainingMs, String(marks.remainingMs), names.expectedServer, marks.server)
-  if (marks.engine !== undefined) {
-    headers.push(names.priority, String(marks.engine.rank))
-    if (marks.engine.version !== undefined) headers.push(names.expectedVersion, String(marks.engine.version))
+export const buildOutgoingRequest = (request: IncomingMessage, body: Buffer, names: HeaderNames, context: OutgoingContext): OutgoingRequest => {
+  const headers = forwardedHeaders(request.rawHeaders, removedHeaders(names, context))
+  headers.push(names.remainingMs, String(context.remainingMs), names.expectedServer, context.server)
+  if (context.engine !== undefined) {
+    headers.push(names.priority, String(context.engine.rank))
+    if (context.engine.version !== undefined) headers.push(names.expectedVersion, String(context.engine.version))
   }
-  if (marks.team !== undefined) headers.push(names.team, marks.team)
-  if (marks.resumeAfter !== undefined) headers.push(names.lastEventId, marks.resumeAfter)
+  if (context.team !== undefined) headers.push(names.team, context.team)
+  if (context.resumeAfter !== undefined) headers.push(names.lastEventId, context.resumeAfter)
   const { 'content-length': length, 'transfer-encoding': encoding } = request.headers
   if (body.length > 0 || length !== undefined || encoding !== undefined) headers.push('Content-Length', String(body.length))
   return { method: request.method ?? 'GET', path: request.url ?? '/', headers, body }
@@ -41,13 +41,13 @@
 const removedHeaderSets = new Map<string, ReadonlySet<string>>()
 
 /** Names of the headers that are not forwarded; computed once per combination and not per request. */
-const removedHeaders = (names: HeaderNames, { resumeAfter: resumeAt, keyed }: OutgoingContext): ReadonlySet<string> => {
-  const id = `${keyed} ${resumeAt !== undefined}`
+const removedHeaders = (names: HeaderNames, { resumeAfter, keyed }: OutgoingContext): ReadonlySet<string> => {
+  const id = `${keyed} ${resumeAfter !== undefined}`
   const known = removedHeaderSets.get(id)
   if (known !== undefined) return known
   const set = new Set([...names.reserved, names.remainingMs, 'content-length', 'expect'])
   if (keyed) set.add(names.key).add(names.team)
-  if (resumeAt !== undefined) set.add(names.lastEventId)
+  if (resumeAfter !== undefined) set.add(names.lastEventId)
   removedHeaderSets.set(id, set)
   return set
 }
--- a/packages/fleet/src/entry/prefill-rate.ts
+++ b/packages/fleet/src/entry/prefill-rate.ts
@@ -1,6 +1,6 @@
 /**
- * Prefill rate: how fast an engine processes prompt tokens, measured on this entry's own requests as the time from sending one to
- * its first token, over all prompt tokens that the engine had to process by then.
+ * Prefill rate: how fast an engine prefills prompt tokens, measured on this entry's own requests as the time from sending one to
+ * its first token, over all prompt tokens that the engine had to prefill by then.
  *
  * The measure includes whatever slows prefill down: tokens generated for other requests in between, a full batch, a slow machine.
  * It decays to the initial value while nothing is sent, so that an engine that was slow once is tried again.
@@ -21,7 +21,7 @@
   readonly #ms = new DecayingSum(halfLifeMs)
   readonly #tokens = new DecayingSum(halfLifeMs)
 
-  /** Records a first token `ms` after its request was sent, with `tokens` prompt tokens processed by then. */
+  /** Records a first token `ms` after its request was sent, with `tokens` prompt tokens prefilled by then. */
   add (ms: number, tokens: number, now: number): void {
     this.#ms.add(ms, now)
     this.#tokens.add(tokens, now)
--- a/packages/fleet/src/entry/request-crashes.ts
+++ b/packages/fleet/src/entry/request-crashes.ts
@@ -21,7 +21,7 @@
 
   constructor (private readonly crashes: Crashes, private readonly incoming: IncomingRequest) {}
 
-  /** Set while the request may be sent to no server, because servers terminated while running it. */
+  /** Set while the request may be sent to no server, because servers crashed while running it. */
   quarantine (team: FleetTeam | undefined): Quarantine | undefined {
     return this.crashes.none ? undefined : this.crashes.quarantine(this.#fingerprint(team))
   }
@@ -41,7 +41,7 @@
     return true
   }
 
-  /** The request ran to completion, so it doesn't terminate servers. */
+  /** The request ran to completion, so it doesn't crash servers. */
   completed (team: FleetTeam | undefined): void {
     if (!this.crashes.none) this.crashes.endedWell(this.#fingerprint(team))
   }
--- a/packages/fleet/src/entry/request-queue.ts
+++ b/packages/fleet/src/entry/request-queue.ts
@@ -1,8 +1,8 @@
 /**
  * Queue of requests that wait in the entry for a free server or for an adapter to load, by rank and then in order of arrival.
  *
- * A request leaves the queue when a server is selected for it, when waiting can no longer help it, or when its caller
- * disconnects. The queue is scanned shortly after something changes that may let requests go on, and at intervals in case
+ * A request leaves the queue when a server is selected for it, when waiting can no longer help it, or when it is
+ * cancelled or quarantined. The queue is scanned shortly after something changes that may let requests go on, and at intervals in case
  * a change went unnoticed.
  */
 import { nowMs } from '../clock.js'
@@ -27,12 +27,12 @@
   requestLoad: (ask: string, waiting: number) => void
 }
 
-export type WaitOutcome = { type: 'chosen', choice: Extract<Choice, { type: 'send' }> } | { type: 'expired', last: Choice } | { type: 'left' } | { type: 'hopeless' }
+export type WaitOutcome = { type: 'chosen', choice: Extract<Choice, { type: 'send' }> } | { type: 'expired', last: Choice } | { type: 'cancelled' } | { type: 'quarantined' }
 
 interface QueueEntry extends QueuedRequest {
   queuedAt: number
   last: Choice
-  end: (end: WaitOutcome) => void
+  end: (outcome: WaitOutcome) => void
 }
 
 /** Delay of a scan after a change: changes come in bursts, and one scan covers them all. */
@@ -73,20 +73,20 @@
     return count
   }
 
-  wait (waiter: QueuedRequest, first: Choice, cancellation: Cancellation): Promise<WaitOutcome> {
+  wait (request: QueuedRequest, first: Choice, cancellation: Cancellation): Promise<WaitOutcome> {
     return new Promise(resolve => {
-      const timer = setTimeout(() => entry.end({ type: 'expired', last: entry.last }), Math.max(0, waiter.expiresAt - nowMs()))
-      const cancel = (): void => entry.end({ type: 'left' })
+      const timer = setTimeout(() => entry.end({ type: 'expired', last: entry.last }), Math.max(0, request.expiresAt - nowMs()))
+      const cancel = (): void => entry.end({ type: 'cancelled' })
       const entry: QueueEntry = {
-        ...waiter,
+        ...request,
         queuedAt: nowMs(),
         last: first,
-        end: end => {
+        end: outcome => {
           if (!this.#entries.delete(entry)) return
           clearTimeout(timer)
           if (this.#entries.size === 0) this.#stopSweep()
           unsubscribe()
-          resolve(end)
+          resolve(outcome)
         }
       }
       const unsubscribe = cancellation.onCancel(cancel)
@@ -135,7 +135,7 @@
     const limitedByService = new Map<string, number>()
     for (const { entry } of ordered) {
       if (entry.isQuarantined()) {
-        entry.end({ type: 'hopeless' })
+        entry.end({ type: 'quarantined' })
         continue
       }
       const known = blocked.get(entry.key)
--- a/packages/fleet/src/entry/request-record.ts
+++ b/packages/fleet/src/entry/request-record.ts
@@ -32,9 +32,9 @@
   team: string | undefined
   /** The server of the last attempt. */
   server: BackendServer | undefined
-  /** The last server that would have been chosen but was skipped because of the rate limit that it states. */
+  /** The last server that would have been chosen but was skipped because of the limit that it advertises. */
   limitedBy: string | undefined
-  /** Why that server was chosen, or why none was. */
+  /** Why the server of the last attempt was chosen, or why none was. */
   reason = ''
   tries = 0
   /** Time spent in the queue of this entry, for a server or an adapter. */
@@ -49,7 +49,7 @@
   constructor (private readonly incoming: IncomingRequest, private readonly times: RequestTimes) {}
 
   /** Writes the log line and counts the request. */
-  write (outcome: string, log: Log, counters: EntryCounters, { table, tableAgeMs, holding }: RecordContext): void {
+  write (outcome: string, log: Log, counters: EntryCounters, { table, tableAgeMs, holding: engineReport }: RecordContext): void {
     const { incoming, times, route, server } = this
     this.#updateMetrics(outcome, counters)
     log.info('request.ended', {
@@ -76,7 +76,7 @@
       firstByteMs: rounded(this.firstByteMs),
       ms: rounded(times.ms),
       leftMs: rounded(times.leftMs),
-      holdingAgeMs: holding === undefined ? undefined : rounded(nowMs() - holding.at)
+      holdingAgeMs: engineReport === undefined ? undefined : rounded(nowMs() - engineReport.at)
     })
   }
 
--- a/packages/fleet/src/entry/request-times.ts
+++ b/packages/fleet/src/entry/request-times.ts
@@ -36,9 +36,9 @@
     return left > 0 ? left : Infinity
   }
 
-  /** Its rank among waiting requests. `readingMs`: the prefill time of its prompt on an idle engine. */
-  rank ({ priority, objectiveMs }: Pick<RankInput, 'priority' | 'objectiveMs'>, readingMs: number): number {
-    return rankOf({ priority, objectiveMs, elapsedMs: this.#elapsedMs, prefillMs: readingMs })
+  /** Its rank among waiting requests. `prefillMs`: the prefill time of its prompt on an idle engine. */
+  rank ({ priority, objectiveMs }: Pick<RankInput, 'priority' | 'objectiveMs'>, prefillMs: number): number {
+    return rankOf({ priority, objectiveMs, elapsedMs: this.#elapsedMs, prefillMs })
   }
 
   /** Until when it may wait for a server or an adapter, which leaves time for the first token before the caller gives up. */
--- a/packages/fleet/src/entry/retry-budget.ts
+++ b/packages/fleet/src/entry/retry-budget.ts
@@ -18,7 +18,7 @@
 
   constructor (private readonly limits: () => Limits, private readonly entries: () => number | undefined) {}
 
-  /** Counts a first try, which adds to the budget. */
+  /** Counts a first attempt, which adds to the budget. */
   deposit (service: string): void {
     this.#window(service).recordFirstAttempt(nowMs(), this.limits().retryWindowMs)
   }
--- a/packages/fleet/src/entry/server-faults.ts
+++ b/packages/fleet/src/entry/server-faults.ts
@@ -58,8 +58,8 @@
   }
 
   #recordEjection (event: string, server: BackendServer, request: string, detail: string): void {
-    const { ejectedUntil: until } = this.balancer.state(server).outlier
+    const { ejectedUntil } = this.balancer.state(server).outlier
     this.counters.ejections.inc()
-    this.log.warn(event, { server: server.id, request, detail, ms: Math.round(until - nowMs()) })
+    this.log.warn(event, { server: server.id, request, detail, ms: Math.round(ejectedUntil - nowMs()) })
   }
 }
--- a/packages/fleet/src/entry/server-feedback-handler.ts
+++ b/packages/fleet/src/entry/server-feedback-handler.ts
@@ -2,7 +2,7 @@
  * Applies the feedback that servers send in their response headers.
  *
  * It is about the server and not about the request that it came with, so it affects every selection and every send from then on:
- * the rate limits, the list of leaving servers, the backoff of the server and the queued requests.
+ * the advertised limits, the list of draining servers, the backoff of the server and the queued requests.
  */
 import { nowMs } from '../clock.js'
 import type { Facts } from '../facts.js'
@@ -34,13 +34,13 @@
 export class ServerFeedbackHandler {
   constructor (private readonly options: ServerFeedbackHandlerOptions) {}
 
-  handle ({ leaving, backoffMs: restMs, limitPerSecond }: ServerFeedback, { server, state, request, sentAt }: FeedbackSource): void {
-    const { facts, balancer, queue: room, serverLimits } = this.options
+  handle ({ leaving, backoffMs, limitPerSecond }: ServerFeedback, { server, state, request, sentAt }: FeedbackSource): void {
+    const { facts, balancer, queue, serverLimits } = this.options
     serverLimits.heard(server, limitPerSecond, sentAt, request)
     if (leaving) facts.markDraining(server, `answer to ${request}`)
-    if (restMs === undefined) return state.backoff.recordAnswer(nowMs())
-    balancer.backOff(server, state, restMs, request)
+    if (backoffMs === undefined) return state.backoff.recordAnswer(nowMs())
+    balancer.backOff(server, state, backoffMs, request)
     // Requests that wait for this server may go elsewhere.
-    room.scheduleScan()
+    queue.scheduleScan()
   }
 }
--- a/packages/fleet/src/entry/server-feedback.ts
+++ b/packages/fleet/src/entry/server-feedback.ts
@@ -1,5 +1,5 @@
 /**
- * Feedback that a server sends about itself in the response headers: that it is leaving, asks for backoff or limits its rate.
+ * Feedback that a server sends about itself in the response headers: that it is draining, asks for backoff or advertises a limit.
  *
  * It is valid whatever the answer is, even if the body breaks off, the request is refused or the answer belongs to another
  * request.
@@ -10,7 +10,7 @@
 import { headerOf } from './header.js'
 
 export interface ServerFeedback {
-  /** The server is leaving and wants no new requests. */
+  /** The server is draining and wants no new requests. */
   leaving: boolean
   /** How long it wants no requests from this process; `undefined` if it asks for no backoff. */
   backoffMs: number | undefined
@@ -21,7 +21,7 @@
   limitPerSecond: number | undefined
 }
 
-/** Value of the header that says a server is leaving. */
+/** Value of the header that says a server is draining. */
 const leavingValue = '1'
 /** Status with which a server that asks for backoff rejects the request. */
 export const overloadedStatus = 503
@@ -33,7 +33,7 @@
   return { leaving: headerOf(answer, names.leaving)?.trim() === leavingValue, backoffMs: parseBackoff(answer, names), limitPerSecond: parseLimit(answer, names) }
 }
 
-/** Seconds, fractions allowed. Anything else asks for no backoff; values above `longestRestMs` are capped. */
+/** Seconds, fractions allowed. Anything else asks for no backoff; values above `maxBackoffMs` are capped. */
 const parseBackoff = (answer: IncomingMessage, names: HeaderNames): number | undefined => {
   if (answer.statusCode !== overloadedStatus) return undefined
   const text = headerOf(answer, names.retryAfter)?.trim() ?? ''
--- a/packages/fleet/src/entry/server-liveness.ts
+++ b/packages/fleet/src/entry/server-liveness.ts
@@ -1,14 +1,14 @@
 /**
- * Tells whether a server process has ended or only a connection to it broke.
+ * Tells whether a server has crashed or only a connection to it broke.
  *
- * To the request, a reset connection, a truncated answer and the end of the server process look alike. Connecting to the address
- * tells them apart at once: it refuses connections until the server has restarted, some seconds later.
+ * To the request, a reset connection, a truncated answer and a crash of the server look alike. Connecting to the address tells
+ * them apart at once: after a crash it refuses connections until the server has restarted, some seconds later.
  */
 import { connect } from 'node:net'
 import { splitAddress } from '@finchpitch/core'
 import type { BackendServer } from '../server.js'
 
-/** A reachable server accepts or refuses within some ms; without either it may be partitioned, which does not show that it ended. */
+/** A reachable server accepts or refuses within some ms; without either it may be partitioned, which does not show a crash. */
 const probeTimeoutMs = 1000
 
 /** Resolves to whether the address refuses connections. */
@@ -28,14 +28,14 @@
 
   constructor (private readonly probe: (address: string) => Promise<boolean> = refusesConnections) {}
 
-  /** Whether the server has ended. Requests that broke off together share one probe. */
+  /** Whether the server has crashed. Requests that broke off together share one probe. */
   async ended ({ address }: BackendServer): Promise<boolean> {
     const pending = this.#probes.get(address)
     if (pending !== undefined) return await pending
     const probing = this.probe(address)
     this.#probes.set(address, probing)
-    const ended = await probing
+    const crashed = await probing
     this.#probes.delete(address)
-    return ended
+    return crashed
   }
 }
--- a/packages/fleet/src/entry/server-selector.ts
+++ b/packages/fleet/src/entry/server-selector.ts
@@ -1,9 +1,9 @@
 /**
  * Selects the server that one request is sent to next, and has the request wait for a server, an adapter, the end of a backoff
- * or a rate limit.
+ * or the limit that a server advertises.
  *
  * A request waits only while that can still help its caller. If it is known that nothing becomes available in time, the caller is
- * told at once when to retry.
+ * answered at once, with the time after which to retry.
  */
 import { nowMs } from '../clock.js'
 import type { Facts } from '../facts.js'
@@ -23,7 +23,7 @@
 
 /** The request can't be sent to any server; callers should not retry before `notBeforeMs` have passed. */
 export interface NoServer {
-  type: 'nowhere'
+  type: 'no_server'
   reason: string
   notBeforeMs: number
 }
@@ -32,12 +32,12 @@
   | { type: 'chosen', choice: SendChoice }
   | NoServer
   /** Admission has to be checked again before it may be sent. */
-  | { type: 'anew' }
+  | { type: 'readmit' }
   /** Its caller disconnected while it waited, or its deadline passed. */
-  | { type: 'left' }
+  | { type: 'cancelled' }
 
 export const noServerFrom = (choice: Choice): NoServer =>
-  ({ type: 'nowhere', reason: choice.reason, notBeforeMs: hasReadyTime(choice) ? Math.ceil(choice.readyInMs) : 0 })
+  ({ type: 'no_server', reason: choice.reason, notBeforeMs: hasReadyTime(choice) ? Math.ceil(choice.readyInMs) : 0 })
 
 /** Whether the choice says when a server becomes available. */
 export const hasReadyTime = (choice: Choice): choice is Extract<Choice, { type: 'resting' | 'limited' }> => choice.type === 'resting' || choice.type === 'limited'
@@ -57,23 +57,23 @@
 export class ServerSelector {
   constructor (private readonly options: ServerSelectorOptions) {}
 
-  async choose (asked: SelectionRequest, admitted: Admission): Promise<ServerSelection> {
-    const { balancer, cancellation: left, record } = this.options
-    // Other entries hand over unused allowance within some ms; sending the request to another engine may mean a load first.
-    if (!left.cancelled) record.limitedBy = await balancer.awaitRateLimit(asked) ?? record.limitedBy
-    if (left.cancelled) return { type: 'left' }
-    const first = this.#delayBehindQueued(balancer.choose(asked), asked, admitted)
+  async choose (selection: SelectionRequest, admitted: Admission): Promise<ServerSelection> {
+    const { balancer, cancellation, record } = this.options
+    // Other entries pass on their unused part of the limit within some ms; another engine may have to load the adapter first.
+    if (!cancellation.cancelled) record.limitedBy = await balancer.awaitRateLimit(selection) ?? record.limitedBy
+    if (cancellation.cancelled) return { type: 'cancelled' }
+    const first = this.#delayBehindQueued(balancer.choose(selection), selection, admitted)
     if (first.type === 'send') return { type: 'chosen', choice: first }
-    if (first.type === 'none' && this.#noServerExpected(asked.service)) return { type: 'nowhere', reason: 'nobody_left', notBeforeMs: outageRetryAfterMs }
+    if (first.type === 'none' && this.#noServerExpected(selection.service)) return { type: 'no_server', reason: 'nobody_left', notBeforeMs: outageRetryAfterMs }
     if (!this.#mayWaitFor(first, admitted.route)) return noServerFrom(first)
-    return await this.#wait(first, asked, admitted)
+    return await this.#wait(first, selection, admitted)
   }
 
-  /** Puts the request behind those that already wait for rate-limited servers and rank higher. */
+  /** Puts the request behind those that already wait for rate-limited servers and rank before it. */
   #delayBehindQueued (choice: Choice, { service, promptTokens }: SelectionRequest, admitted: Admission): Choice {
-    const { balancer, room } = this.options
+    const { balancer, room: queue } = this.options
     if (choice.type === 'send' ? !balancer.isLimited(choice.id) : choice.type !== 'limited') return choice
-    const ahead = room.limitedAhead(service.name, this.rank(admitted, promptTokens))
+    const ahead = queue.limitedAhead(service.name, this.rank(admitted, promptTokens))
     const limited = ahead === 0 ? undefined : balancer.limitedChoice(service.name)
     return limited === undefined ? choice : queuedBehind(limited, ahead)
   }
@@ -84,23 +84,23 @@
     return times.rank({ priority, objectiveMs: route.objectiveMs }, balancer.prefillMs(promptTokens))
   }
 
-  async #wait (first: Exclude<Choice, SendChoice>, asked: SelectionRequest, admitted: Admission): Promise<ServerSelection> {
-    const { balancer, room, times, crashes, cancellation: left } = this.options
+  async #wait (first: Exclude<Choice, SendChoice>, selection: SelectionRequest, admitted: Admission): Promise<ServerSelection> {
+    const { balancer, room: queue, times, crashes, cancellation } = this.options
     const { route } = admitted
-    const rank = (): number => this.rank(admitted, asked.promptTokens)
+    const rank = (): number => this.rank(admitted, selection.promptTokens)
     const started = nowMs()
-    const outcome = await room.wait({
-      key: asked.key ?? asked.service.name,
-      service: asked.service.name,
+    const outcome = await queue.wait({
+      key: selection.key ?? selection.service.name,
+      service: selection.service.name,
       rank,
       expiresAt: first.type === 'none' ? times.waitForServersUntil(route) : times.waitUntil(route),
       mayWaitFor: choice => this.#mayWaitFor(choice, route),
-      choose: () => balancer.choose({ ...asked, inTimeMs: times.timeToObjectiveMs(route) }),
+      choose: () => balancer.choose({ ...selection, inTimeMs: times.timeToObjectiveMs(route) }),
       isQuarantined: () => crashes.quarantine(admitted.team) !== undefined,
-      requestLoad: (ask, waiting) => balancer.bring(ask, asked.key ?? '', waiting, rank())
-    }, first, left)
+      requestLoad: (ask, waiting) => balancer.bring(ask, selection.key ?? '', waiting, rank())
+    }, first, cancellation)
     this.#recordWait(first, nowMs() - started)
-    if (outcome.type === 'hopeless') return { type: 'anew' }
+    if (outcome.type === 'quarantined') return { type: 'readmit' }
     return outcome.type === 'expired' ? noServerFrom(outcome.last) : outcome
   }
 
--- a/packages/fleet/src/entry/server-state.ts
+++ b/packages/fleet/src/entry/server-state.ts
@@ -10,9 +10,9 @@
 /** Three failures in a row, or a failure rate of 0.4 over some ten requests, are far above what healthy servers show (0.14). */
 const outlierLimits: OutlierLimits = { inRow: 3, share: 0.4, least: 8, firstMs: 600, limitMs: 4000 }
 
-/** Load added to a server for each refusal, as it is fuller than was thought, */
+/** Load added to a server for each refusal, as it is fuller than was thought. */
 const refusalLoad = 2
-/** for about as long as a request runs: a plain server never reports that it has capacity again. */
+/** How long it is added: about as long as a request runs, as a plain server never reports that it has capacity again. */
 const refusalMs = 250
 
 /** The last report of an engine by its side process. */
@@ -26,7 +26,7 @@
   coming: ReadonlySet<string>
   waiting: number
   running: number
-  /** Prompt tokens of requests from other entries that the engine has not processed yet. */
+  /** Prompt tokens of requests from other entries that the engine has not prefilled yet. */
   unread: number
 }
 
@@ -43,7 +43,7 @@
 /** A request in progress at a server. */
 export interface PendingRequest {
   sentAt: number
-  /** Prompt length in tokens, and the unprocessed prompt tokens that were ahead of it. */
+  /** Prompt length in tokens, and the tokens ahead of it that were not prefilled yet. */
   tokens: number
   tokensAhead: number
   priority: number
@@ -58,20 +58,20 @@
   readonly #pending = new Set<PendingRequest>()
   readonly #awaitingFirstByte = new Set<PendingRequest>()
   readonly hash: number
-  /** Requests in progress per adapter, and those started since the side process was last told. */
+  /** Requests in progress per adapter, and those started since the last report to its side process. */
   readonly uses = new Map<string, { started: number, running: number }>()
   engineReport: EngineReport | undefined
   /** Requests sent since the last report. */
   #sentSinceReport = 0
-  /** Prompt tokens of own requests that the server has not processed yet. */
+  /** Prompt tokens of own requests that the server has not prefilled yet. */
   #ownUnread = 0
   readonly #prefillRate = new PrefillRate()
-  /** Engines process the prompts of urgent requests first, so each priority has a prefill rate of its own. */
+  /** Engines prefill the prompts of urgent requests first, so each priority has a prefill rate of its own. */
   readonly #ratesByPriority = new Map<number, PrefillRate>()
   #refusedLoad = 0
   #refusedUntil = -Infinity
 
-  /** `usesChanged`: called when its adapter use changes, which its side process has to be told. */
+  /** `usesChanged`: called when its adapter use changes, which has to be reported to its side process. */
   constructor (readonly id: string, maxConnections: number, private readonly usesChanged: (id: string) => void = () => {}, readonly bornAt?: number) {
     this.hash = hashOf(id)
     this.agent = createServerAgent(maxConnections)
@@ -102,7 +102,7 @@
     this.#refusedUntil = now + refusalMs
   }
 
-  /** Prompt tokens of own requests that the server has not processed yet. */
+  /** Prompt tokens of own requests that the server has not prefilled yet. */
   get unread (): number {
     return this.#ownUnread
   }
@@ -115,19 +115,19 @@
   #rateOf (priority: number): PrefillRate {
     const known = this.#ratesByPriority.get(priority)
     if (known !== undefined) return known
-    const pace = new PrefillRate()
-    this.#ratesByPriority.set(priority, pace)
-    return pace
+    const rate = new PrefillRate()
+    this.#ratesByPriority.set(priority, rate)
+    return rate
   }
 
   /**
-   * All prompt tokens that the server has not processed yet. Those of other entries are assumed to have been processed on since the
-   * last report.
+   * All prompt tokens that the server has not prefilled yet. It is assumed to have prefilled those of other entries since the last
+   * report, at its usual rate.
    */
   #unreadTokensAt (now: number): number {
     if (this.engineReport === undefined) return this.#ownUnread
-    const processedSince = (now - this.engineReport.at) / this.#prefillRate.msPerToken(now)
-    return this.#ownUnread + Math.max(0, this.engineReport.unread - processedSince)
+    const prefilledSince = (now - this.engineReport.at) / this.#prefillRate.msPerToken(now)
+    return this.#ownUnread + Math.max(0, this.engineReport.unread - prefilledSince)
   }
 
   begin ({ key, patienceMs, tokens, priority }: RequestStart): PendingRequest {
@@ -177,8 +177,8 @@
     return false
   }
 
-  applyReport (holding: EngineReport): void {
-    this.engineReport = holding
+  applyReport (report: EngineReport): void {
+    this.engineReport = report
     this.#sentSinceReport = 0
     this.#refusedUntil = -Infinity
   }
--- a/packages/fleet/src/entry/server-states.ts
+++ b/packages/fleet/src/entry/server-states.ts
@@ -13,7 +13,7 @@
   readonly holders = new Holders()
   readonly #states = new Map<string, ServerState>()
 
-  /** `usesChanged`: called with a server's id when its adapter use changes, which its side process has to be told. */
+  /** `usesChanged`: called with a server's id when its adapter use changes, which has to be reported to its side process. */
   constructor (private readonly usesChanged: (id: string) => void = () => {}) {}
 
   /**
@@ -41,12 +41,12 @@
   }
 
   /** Applies a report by an engine's side process. `bornAt`: start of the incarnation it is about, which the store may not list yet. */
-  applyReport (id: string, holding: EngineReport, bornAt?: number): void {
+  applyReport (id: string, report: EngineReport, bornAt?: number): void {
     const known = this.#states.get(id)
     if (known === undefined || isEarlierIncarnation(bornAt, known.bornAt)) return
     const state = isEarlierIncarnation(known.bornAt, bornAt) ? this.#begin(id, known.agent.maxSockets, bornAt) : known
-    state.applyReport(holding)
-    this.holders.update(id, holding.held)
+    state.applyReport(report)
+    this.holders.update(id, report.held)
   }
 
   /** Replaces the keys that an engine holds; the rest of its last report stays. */
@@ -60,7 +60,7 @@
   /** Removes servers that are gone, once their last request has ended. */
   prune (present: ReadonlyMap<string, unknown>): void {
     for (const [id, state] of this.#states) {
-      // A backoff lasts for the whole incarnation, even if the registration lapses and comes back.
+      // A backoff lasts for the whole incarnation, even if the server's entry in the store vanishes and comes back.
       if (present.has(id) || state.inFlight > 0 || state.backoff.active(nowMs())) continue
       state.close()
       this.holders.update(id, undefined)
--- a/packages/fleet/src/entry/service-request.ts
+++ b/packages/fleet/src/entry/service-request.ts
@@ -44,7 +44,7 @@
 const maxTotalAttempts = 12
 /** A server that sends nothing for this many objectives is considered unresponsive. */
 const unresponsiveObjectives = 1.5
-/** A server ends a stream at its deadline; the entry cancels it this much later. */
+/** A server finishes a stream at its deadline; the entry cancels it this much later. */
 const streamGraceMs = 200
 /** With less time left, an attempt can't finish before the deadline. */
 const minRemainingMs = 5
@@ -83,7 +83,7 @@
 /** An attempt that has ended. */
 interface FinishedAttempt {
   server: BackendServer
-  asked: SelectionRequest
+  selection: SelectionRequest
   admitted: Admission
   /** When the request was written to its server, on the monotonic clock. */
   sentAt: number
@@ -104,9 +104,9 @@
   readonly #times = new RequestTimes()
   readonly #record: RequestRecord
   readonly #delivery: CallerResponse
-  readonly #answers: LocalReplies
+  readonly #localReplies: LocalReplies
   readonly #crashes: RequestCrashes
-  readonly #nextServer: ServerSelector
+  readonly #selector: ServerSelector
   readonly #cancellation = new Cancellation()
   /** Ids of servers that this request is not sent to again. */
   readonly #excluded = new Set<string>()
@@ -126,8 +126,8 @@
     this.#delivery = new CallerResponse(response, options.closeAfterResponse)
     this.#admission = new RequestAdmission(options, this.#incoming)
     this.#crashes = new RequestCrashes(options.crashes, this.#incoming)
-    this.#nextServer = new ServerSelector({ ...options, times: this.#times, record: this.#record, crashes: this.#crashes, cancellation: this.#cancellation })
-    this.#answers = new LocalReplies({ names: options.names, staleTableRetryMs: options.staleTableRetryMs, incoming: this.#incoming, delivery: this.#delivery, record: this.#record })
+    this.#selector = new ServerSelector({ ...options, times: this.#times, record: this.#record, crashes: this.#crashes, cancellation: this.#cancellation })
+    this.#localReplies = new LocalReplies({ names: options.names, staleTableRetryMs: options.staleTableRetryMs, incoming: this.#incoming, delivery: this.#delivery, record: this.#record })
     response.on('close', () => { if (!response.writableFinished) this.#cancellation.cancel() })
   }
 
@@ -135,30 +135,30 @@
     const outcome = await this.#handle()
     const { facts, balancer, log, counters } = this.options
     this.#admission.release()
-    const holding = balancer.states.get(this.#record.server?.id ?? '')?.engineReport
-    this.#record.write(outcome, log, counters, { table: facts.routes?.table.version, tableAgeMs: facts.freshness.ageMs, holding })
+    const engineReport = balancer.states.get(this.#record.server?.id ?? '')?.engineReport
+    this.#record.write(outcome, log, counters, { table: facts.routes?.table.version, tableAgeMs: facts.freshness.ageMs, holding: engineReport })
   }
 
   async #handle (): Promise<string> {
-    const { facts, stopping: isStopping, firstAttempts: estimator, noTableRetryMs: retryMs } = this.options
+    const { facts, stopping, firstAttempts, noTableRetryMs } = this.options
     const { remainingMs } = this.#incoming
-    if (isStopping) return this.#answers.refuse('stopping')
+    if (stopping) return this.#localReplies.refuse('stopping')
     await this.options.tableLoaded()
     const routes = facts.routes
     if (routes === undefined) {
-      this.#answers.raiseRetryAfter(retryMs())
-      return this.#answers.refuse('no_table')
+      this.#localReplies.raiseRetryAfter(noTableRetryMs())
+      return this.#localReplies.refuse('no_table')
     }
     const admission = await this.#admit()
-    if (admission.type === 'denied') return this.#answers.deny(admission)
+    if (admission.type === 'denied') return this.#localReplies.deny(admission)
     const { route } = admission
-    if (this.#incoming.hasInvalidModel) return this.#answers.end('bad_model')
+    if (this.#incoming.hasInvalidModel) return this.#localReplies.end('bad_model')
     const readyInMs = await this.#admission.reserve(admission)
-    if (readyInMs !== undefined) return this.#answers.overQuota(readyInMs)
+    if (readyInMs !== undefined) return this.#localReplies.overQuota(readyInMs)
     this.#times.deadline = this.#times.arrivedAt + Math.min(remainingMs, route.timeoutMs)
-    this.#times.firstTriedMs = estimator.agoMs(route.name, remainingMs)
+    this.#times.firstTriedMs = firstAttempts.agoMs(route.name, remainingMs)
     const body = await this.#incoming.body(routes.table.limits.bodyBytes)
-    if (body.isErr()) return body.error === 'too_large' ? this.#answers.end(body.error) : body.error
+    if (body.isErr()) return body.error === 'too_large' ? this.#localReplies.end(body.error) : body.error
     this.#framer = route.kind === 'stream' && route.resumable ? new EventFramer() : undefined
     const timer = setTimeout(() => this.#onDeadline(), Math.max(0, this.#times.leftMs))
     try {
@@ -174,25 +174,25 @@
       const { routes, servers } = this.options.facts
       if (routes === undefined) return this.#giveUp('no_table')
       const admission = await this.#admit()
-      if (admission.type === 'denied') return this.#mayHaveRun ? this.#answers.fail(502, admission.reason) : this.#answers.deny(admission)
+      if (admission.type === 'denied') return this.#mayHaveRun ? this.#localReplies.fail(502, admission.reason) : this.#localReplies.deny(admission)
       const readyInMs = await this.#admission.reserve(admission)
-      if (readyInMs !== undefined) return this.#mayHaveRun ? this.#answers.fail(502, 'over_quota') : this.#answers.overQuota(readyInMs)
-      // Such a request would terminate any server, with all requests that run there. Of ten sent to four entries, all ten reached an
+      if (readyInMs !== undefined) return this.#mayHaveRun ? this.#localReplies.fail(502, 'over_quota') : this.#localReplies.overQuota(readyInMs)
+      // Such a request would crash any server, with all requests that run there. Of ten sent to four entries, all ten reached an
       // engine without this check, and two or three with it.
-      const held = this.#crashes.quarantine(admission.team)
-      if (held !== undefined) return this.#mayHaveRun ? this.#answers.fail(502, 'quarantined') : this.#answers.quarantined(held)
+      const quarantine = this.#crashes.quarantine(admission.team)
+      if (quarantine !== undefined) return this.#mayHaveRun ? this.#localReplies.fail(502, 'quarantined') : this.#localReplies.quarantined(quarantine)
       const service = this.#serviceOf(admission.route)
       if (service === undefined) return this.#giveUp('no_service')
-      const asked = this.#asked(service, admission)
-      const next = await this.#nextServer.choose(asked, admission)
-      if (next.type === 'left') return this.#endCancelled(false)
-      if (next.type === 'nowhere') return this.#giveUpWaiting(next)
+      const selection = this.#selectionFor(service, admission)
+      const next = await this.#selector.choose(selection, admission)
+      if (next.type === 'cancelled') return this.#endCancelled(false)
+      if (next.type === 'no_server') return this.#giveUpWaiting(next)
       const server = next.type === 'chosen' ? servers.get(next.choice.id) : undefined
       // The table may have changed during the wait, so the request has to be admitted again.
-      if (next.type === 'anew' || server === undefined || this.options.facts.routes !== routes) continue
+      if (next.type === 'readmit' || server === undefined || this.options.facts.routes !== routes) continue
       // Without a probe grant, all entries would send the request the moment its quarantine expires.
-      if (!await this.#crashes.mayRun(admission.team)) return this.#mayHaveRun ? this.#answers.fail(502, 'quarantined') : this.#answers.awaitProbe()
-      const verdict = await this.#attempt(server, asked, admission, next.choice)
+      if (!await this.#crashes.mayRun(admission.team)) return this.#mayHaveRun ? this.#localReplies.fail(502, 'quarantined') : this.#localReplies.awaitProbe()
+      const verdict = await this.#attempt(server, selection, admission, next.choice)
       if (verdict.type === 'done') return verdict.outcome
     }
   }
@@ -211,7 +211,7 @@
     return target === undefined ? undefined : this.options.facts.routes?.service(target.service)
   }
 
-  #asked (service: FleetService, { route, priority }: Admission): SelectionRequest {
+  #selectionFor (service: FleetService, { route, priority }: Admission): SelectionRequest {
     const { model, promptTokens } = this.#incoming
     const key = service.engine === undefined ? undefined : model
     return { service, key, promptTokens, inTimeMs: this.#times.timeToObjectiveMs(route), priority, excluded: this.#excluded }
@@ -223,23 +223,23 @@
     else setTimeout(() => this.#cancellation.cancel(), streamGraceMs)
   }
 
-  async #attempt (server: BackendServer, asked: SelectionRequest, admitted: Admission, choice: SendChoice): Promise<Verdict> {
+  async #attempt (server: BackendServer, selection: SelectionRequest, admitted: Admission, choice: SendChoice): Promise<Verdict> {
     const { balancer, budget, names, counters, connects, facts } = this.options
     const table = facts.routes
     const { route } = admitted
     const remaining = Math.floor(this.#times.leftMs)
-    if (remaining < minRemainingMs) return done(this.#mayHaveRun ? this.#answers.fail(504, 'timed_out') : this.#answers.refuse('too_late'))
-    if (this.#record.tries === 0) budget.deposit(asked.service.name)
-    if (this.#sentAttempts > 0 && !budget.tryWithdraw(asked.service.name)) return done(this.#giveUp('no_retry_left'))
+    if (remaining < minRemainingMs) return done(this.#mayHaveRun ? this.#localReplies.fail(504, 'timed_out') : this.#localReplies.refuse('too_late'))
+    if (this.#record.tries === 0) budget.deposit(selection.service.name)
+    if (this.#sentAttempts > 0 && !budget.tryWithdraw(selection.service.name)) return done(this.#giveUp('no_retry_left'))
     const state = balancer.state(server)
-    this.#recordAttempt(server, asked, choice)
-    const { key, promptTokens: tokens, priority } = asked
+    this.#recordAttempt(server, selection, choice)
+    const { key, promptTokens: tokens, priority } = selection
     const pending = state.begin({ key, tokens, priority, patienceMs: route.objectiveMs * unresponsiveObjectives })
     let sentAt = pending.sentAt
-    const end = await attempt({
+    const result = await attempt({
       agent: state.agent,
       address: server.address,
-      outgoing: buildOutgoingRequest(this.#incoming.message, this.#crashes.body, names, this.#outgoingContext(server, asked, admitted, remaining)),
+      outgoing: buildOutgoingRequest(this.#incoming.message, this.#crashes.body, names, this.#outgoingContext(server, selection, admitted, remaining)),
       requestId: this.#incoming.id,
       serverId: server.id,
       names,
@@ -259,21 +259,21 @@
         balancer.recordFirstByte(pending)
         this.#record.firstByteMs ??= this.#times.ms
       },
-      onServerFeedback: word => this.options.words.handle(word, { server, state, request: this.#incoming.id, sentAt })
+      onServerFeedback: feedback => this.options.words.handle(feedback, { server, state, request: this.#incoming.id, sentAt })
     })
     state.end(key, pending)
-    if (end.type !== 'not_sent' && end.type !== 'withheld') this.#sentAttempts += 1
-    counters.attempts.inc({ end: end.type })
+    if (result.type !== 'not_sent' && result.type !== 'withheld') this.#sentAttempts += 1
+    counters.attempts.inc({ end: result.type })
     this.options.room.scheduleCapacityScan()
-    return this.#handleEnd(end, { server, asked, admitted, sentAt })
+    return this.#handleResult(result, { server, selection, admitted, sentAt })
   }
 
-  /** Spends quota, rate limit and probe grant just before the request is written. Returns whether it may be sent. */
+  /** Spends quota, advertised limit and probe grant just before the request is written. Returns whether it may be sent. */
   #spend (server: BackendServer, admitted: Admission): boolean {
     const { serverLimits } = this.options
     const pass = serverLimits.pass(server)
     if (pass === undefined) return false
-    // Quarantine is rechecked here: attempts that were still connecting when a second server terminated would each terminate one more.
+    // Quarantine is rechecked here: attempts that were still connecting when a second server crashed would each crash one more.
     if (this.#crashes.spend(admitted.team) && this.#admission.spend(admitted)) return true
     serverLimits.giveBack(pass)
     return false
@@ -290,20 +290,20 @@
 
   #outgoingContext (server: BackendServer, { key }: SelectionRequest, admitted: Admission, remaining: number): OutgoingContext {
     const { balancer, facts } = this.options
-    const engine = key === undefined ? undefined : { rank: this.#nextServer.rank(admitted, this.#incoming.promptTokens), version: balancer.heldVersion(server, key) }
+    const engine = key === undefined ? undefined : { rank: this.#selector.rank(admitted, this.#incoming.promptTokens), version: balancer.heldVersion(server, key) }
     const keyed = facts.routes?.requiresKey === true
     return { remainingMs: remaining, server: server.id, engine, team: admitted.team?.name, keyed, resumeAfter: this.#framer?.lastEventId }
   }
 
   /** Decides what follows an attempt. */
-  #handleEnd (end: AttemptResult, at: FinishedAttempt): Verdict {
-    const handle = ServiceRequest.#endHandlers[end.type] as (self: ServiceRequest, end: AttemptResult, at: FinishedAttempt) => Verdict
-    return handle(this, end, at)
+  #handleResult (result: AttemptResult, at: FinishedAttempt): Verdict {
+    const handle = ServiceRequest.#resultHandlers[result.type] as (self: ServiceRequest, result: AttemptResult, at: FinishedAttempt) => Verdict
+    return handle(this, result, at)
   }
 
   /** Handlers by the result of the attempt. */
-  static readonly #endHandlers: { [Type in AttemptResult['type']]: (self: ServiceRequest, end: Extract<AttemptResult, { type: Type }>, at: FinishedAttempt) => Verdict } = {
-    streamed: (self, _end, { server, admitted }) => {
+  static readonly #resultHandlers: { [Type in AttemptResult['type']]: (self: ServiceRequest, result: Extract<AttemptResult, { type: Type }>, at: FinishedAttempt) => Verdict } = {
+    streamed: (self, _result, { server, admitted }) => {
       self.options.balancer.state(server).outlier.recordSuccess()
       self.#crashes.completed(admitted.team)
       self.#delivery.finish()
@@ -322,23 +322,23 @@
       self.#delivery.whole(status, headers, body, self.#incoming.message.method === 'HEAD' || bodylessStatuses.has(status))
       return done(`answered ${status}`)
     },
-    not_sent: (self, { detail }, { server, asked }) => {
+    not_sent: (self, { detail }, { server, selection }) => {
       self.options.faults.unreachable(server, self.#incoming.id, detail)
       self.#excluded.add(server.id)
-      return self.#retryElsewhere('not_sent', asked)
+      return self.#retryElsewhere('not_sent', selection)
     },
-    withheld: (self, _end, { asked }) => self.#retryElsewhere('withheld', asked),
-    not_run: (self, { status, cause, retryAfter }, { server, asked }) => {
-      const { key } = asked
+    withheld: (self, _result, { selection }) => self.#retryElsewhere('withheld', selection),
+    not_run: (self, { status, cause, retryAfter }, { server, selection }) => {
+      const { key } = selection
       if (self.options.faults.refused({ request: self.#incoming.id, server, status, cause, key, tries: self.#record.tries, retryAfter })) self.#excluded.add(server.id)
       // A backoff that a server asked for is passed on to callers only if all servers ask for one.
-      if (status !== overloadedStatus) self.#answers.raiseRetryAfter(secondsOf(retryAfter) * 1000)
-      return self.#retryElsewhere('refused', asked)
+      if (status !== overloadedStatus) self.#localReplies.raiseRetryAfter(secondsOf(retryAfter) * 1000)
+      return self.#retryElsewhere('refused', selection)
     },
     cancelled: (self, { sent }) => done(self.#endCancelled(sent)),
     broken: (self, { detail }, at) => {
       self.#recordBroken(at, detail)
-      return self.#mayRunAgain(at) ? retry : done(self.#answers.fail(502, 'broken'))
+      return self.#mayRunAgain(at) ? retry : done(self.#localReplies.fail(502, 'broken'))
     },
     interrupted: (self, { detail }, at) => {
       self.#recordBroken(at, detail)
@@ -357,9 +357,9 @@
   }
 
   /** The request has not run, so it goes to another server while attempts are left. */
-  #retryElsewhere (reason: string, asked: SelectionRequest): Verdict {
+  #retryElsewhere (reason: string, selection: SelectionRequest): Verdict {
     if (this.#attemptsLeft) return retry
-    const choice = this.options.balancer.choose(asked)
+    const choice = this.options.balancer.choose(selection)
     return done(hasReadyTime(choice) ? this.#giveUpWaiting(noServerFrom(choice)) : this.#giveUp(reason))
   }
 
@@ -368,15 +368,15 @@
   }
 
   /** Whether the request may run again although it has run or may have run, and another server could take it. */
-  #mayRunAgain ({ server, asked, admitted: { route } }: FinishedAttempt): boolean {
+  #mayRunAgain ({ server, selection, admitted: { route } }: FinishedAttempt): boolean {
     const repeatable = route.kind === 'repeatable' || (route.kind === 'stream' && route.resumable)
-    return repeatable && this.#attemptsLeft && this.#possibleRuns < route.maxAttempts && this.#anotherCanTake(server, asked)
+    return repeatable && this.#attemptsLeft && this.#possibleRuns < route.maxAttempts && this.#anotherCanTake(server, selection)
   }
 
   /** Excludes the server from further attempts. Returns whether another one could take the request. */
-  #anotherCanTake (server: BackendServer, asked: SelectionRequest): boolean {
+  #anotherCanTake (server: BackendServer, selection: SelectionRequest): boolean {
     this.#excluded.add(server.id)
-    return this.options.balancer.choose(asked).type === 'send'
+    return this.options.balancer.choose(selection).type === 'send'
   }
 
   /** The caller disconnected, or the deadline passed. */
@@ -386,17 +386,17 @@
       this.#delivery.cut()
       return 'timed_out'
     }
-    return sent || this.#mayHaveRun ? this.#answers.fail(504, 'timed_out') : this.#answers.refuse('timed_out')
+    return sent || this.#mayHaveRun ? this.#localReplies.fail(504, 'timed_out') : this.#localReplies.refuse('timed_out')
   }
 
   /** No server or adapter became available, or none can in time. */
   #giveUpWaiting ({ reason, notBeforeMs }: NoServer): string {
-    this.#answers.raiseRetryAfter(notBeforeMs)
+    this.#localReplies.raiseRetryAfter(notBeforeMs)
     return this.#giveUp(reason)
   }
 
   /** There is no server left to send it to. */
   #giveUp (reason: string): string {
-    return this.#mayHaveRun ? this.#answers.fail(502, reason) : this.#answers.refuse(reason)
+    return this.#mayHaveRun ? this.#localReplies.fail(502, reason) : this.#localReplies.refuse(reason)
   }
 }
--- a/packages/fleet/src/fact-exchange.ts
+++ b/packages/fleet/src/fact-exchange.ts
@@ -27,7 +27,7 @@
 }
 
 /**
- * How long a side process delays facts for a peer, by the peer's access to the store. A peer that can't read the store has no
+ * How long a side process delays facts for a peer, by the peer's store status. A peer that can't read the store has no
  * other source, and the delay would add up over each hop between it and an entry that can.
  */
 export const forwardDelayBySight: Record<StoreSight, number> = { reading: forwardDelayMs.entry, resting: forwardDelayMs.entry, blind: forwardDelayMs.dependent }
--- a/packages/fleet/src/fact-watch.ts
+++ b/packages/fleet/src/fact-watch.ts
@@ -42,14 +42,14 @@
   return Math.min(drainMs * maxPauseShare, minPauseMs.server * Math.max(1, entries / minPauseEntries))
 }
 
-/** The usable fraction of the time during which a draining server may still be sent requests; the rest allows for transit delays. */
+/** The usable fraction of the time during which a draining server may still be sent requests; the remainder covers transit delays. */
 const usableDrainShare = 0.85
 
 /**
  * How long a server whose entry vanished is kept as a fallback. It may be sent requests for `drainMs` after the store removed the
- * entry, of which the watch may already have spent `restMs` pausing.
+ * entry, of which the watch may already have spent `pauseMs` pausing.
  */
-export const fallbackRetentionMs = (restMs: number, drainMs: number): number => Math.max(0, drainMs * usableDrainShare - restMs)
+export const fallbackRetentionMs = (pauseMs: number, drainMs: number): number => Math.max(0, drainMs * usableDrainShare - pauseMs)
 
 /** How long a fact may be missing from a restored store before it counts as removed. Operators repeat writes later than servers do. */
 const rewriteGraceMs: Record<Fact['kind'], number> = { table: reregistrationMs, server: reregistrationMs, version: 10_000 }
@@ -67,7 +67,7 @@
 }
 
 /** Watches one kind of fact until `signal` aborts. */
-export const watchFacts = async (following: FactWatchOptions): Promise<void> => await new WatchTask(following).run()
+export const watchFacts = async (options: FactWatchOptions): Promise<void> => await new WatchTask(options).run()
 
 /** The task for one kind of fact: what it has read so far, and whether the last call succeeded. */
 class WatchTask {
@@ -93,34 +93,34 @@
   async run (): Promise<void> {
     const { signal } = this.options
     while (!signal.aborted) {
-      if (!this.options.duty.on) await this.#waitForTurn()
+      if (!this.options.duty.on) await this.#waitForDuty()
       if (signal.aborted) break
-      const restMs = await this.#step()
-      if (restMs > 0) await pause(restMs, this.#failures > 0 ? this.#stopOrRecheck : signal)
+      const pauseMs = await this.#step()
+      if (pauseMs > 0) await pause(pauseMs, this.#failures > 0 ? this.#stopOrRecheck : signal)
     }
     this.#removals.stop()
   }
 
   /** Pauses while other processes watch the store, then resumes from the revision that their updates reached. */
-  async #waitForTurn (): Promise<void> {
-    const { duty: turn, signal, facts, outage } = this.options
-    outage.forget(this.#kind)
-    await turn.whenActive(signal)
+  async #waitForDuty (): Promise<void> {
+    const { duty, signal, facts, outage: storeHealth } = this.options
+    storeHealth.forget(this.#kind)
+    await duty.whenActive(signal)
     const complete = facts.complete[this.#kind]
     this.#revision = complete > 0 ? Math.max(complete, this.#revision ?? 0) : undefined
     this.#failures = 0
   }
 
   get #stopOrRecheck (): AbortSignal {
-    const { signal, outage } = this.options
-    return AbortSignal.any([signal, outage.recheckSignal])
+    const { signal, outage: storeHealth } = this.options
+    return AbortSignal.any([signal, storeHealth.recheckSignal])
   }
 
   /** Makes one call and handles the result. Returns how long to pause. */
   async #step (): Promise<number> {
-    const { source, outage, signal, pauseMs: restMs } = this.options
-    if (this.#historyLosses !== outage.historyLosses) this.#revision = undefined
-    this.#historyLosses = outage.historyLosses
+    const { source, outage: storeHealth, signal, pauseMs } = this.options
+    if (this.#historyLosses !== storeHealth.historyLosses) this.#revision = undefined
+    this.#historyLosses = storeHealth.historyLosses
     const callSignal = this.#stopOrRecheck
     const askedAt = nowMs()
     const provenAt = boottimeMs()
@@ -132,7 +132,7 @@
     if (page.isOk() && !this.#isOutdated(page.value)) {
       this.#handlePage(page.value)
       this.#proveTable(page.value, provenAt)
-      return restMs(this.#kind)
+      return pauseMs(this.#kind)
     }
     if (callSignal.aborted && watching) return this.#handleAborted(askedAt)
     this.#handleFailure(page.isErr() ? page.error : outdatedPageFailure, askedAt + waitMs)
@@ -201,20 +201,20 @@
   }
 
   #handleHistoryLoss (): void {
-    const { outage } = this.options
-    if (this.#historyLosses === outage.historyLosses) outage.noteHistoryLoss()
-    this.#historyLosses = outage.historyLosses
+    const { outage: storeHealth } = this.options
+    if (this.#historyLosses === storeHealth.historyLosses) storeHealth.noteHistoryLoss()
+    this.#historyLosses = storeHealth.historyLosses
   }
 
   #handleOutage ({ code, detail }: StoreFailure, dueAt: number): void {
-    const { log, outage } = this.options
+    const { log, outage: storeHealth } = this.options
     const kind = this.#kind
     this.#failures += 1
-    outage.note(kind, false)
+    storeHealth.note(kind, false)
     if (this.#failures > 1) return
     log.warn('store.lost', { kind, code, detail, ...this.#revisionFields })
     this.#outageBeganAt = Math.min(nowMs(), dueAt)
-    outage.recheck()
+    storeHealth.recheck()
   }
 
   get #revisionFields (): { era?: number, revision?: number } {
--- a/packages/fleet/src/facts.ts
+++ b/packages/fleet/src/facts.ts
@@ -97,7 +97,7 @@
     return { ...this.#complete }
   }
 
-  /** This process's access to the store. Peers are notified of a change immediately. */
+  /** This process's store status: it reads the store, gets no answer, or leaves it to others. Peers are notified at once of changes. */
   get sight (): StoreSight {
     return this.#storeStatus
   }
@@ -118,7 +118,7 @@
   markComplete (kind: Fact['kind'], revision: number): void {
     const before = this.hasSynced
     if (kind === 'server') this.#confirmedAt = nowMs()
-    // Peers would never be sent a server that is held back if the list were reported complete.
+    // If the list were reported complete, peers would never be sent a relisted server that is held back here.
     if (kind !== 'server' || this.#relisted.size === 0) this.#complete[kind] = Math.max(this.#complete[kind], revision)
     this.observeRevision(revision)
     if (!before && this.hasSynced) for (const listener of this.#statusListeners) listener()
@@ -189,7 +189,7 @@
     return () => this.#listeners.delete(listener)
   }
 
-  /** Calls the listener once every kind has been received, and whenever this process's access to the store changes. */
+  /** Calls the listener once every kind has been received, and whenever the store status changes. */
   onStatusChange (listener: () => void): () => void {
     this.#statusListeners.add(listener)
     return () => this.#statusListeners.delete(listener)
--- a/packages/fleet/src/keep-connected.ts
+++ b/packages/fleet/src/keep-connected.ts
@@ -32,13 +32,13 @@
 }
 
 /** Keeps the connection open until it is no longer needed or `signal` aborts. */
-export const keepConnected = async ({ host, connection: peering, runSession: talk, needed, signal, peer }: ReconnectOptions): Promise<void> => {
-  const { dial, sidePort, log } = peering
+export const keepConnected = async ({ host, connection, runSession, needed, signal, peer }: ReconnectOptions): Promise<void> => {
+  const { dial, sidePort, log } = connection
   const wanted = (): boolean => !signal.aborted && needed()
   let failures = 0
   while (wanted()) {
     try {
-      const reason = await talk(await dial(`${host}:${sidePort}`))
+      const reason = await runSession(await dial(`${host}:${sidePort}`))
       failures = 0
       if (wanted()) log.warn(`${peer}.lost`, { host, reason })
     } catch (error) {
--- a/packages/fleet/src/ports.ts
+++ b/packages/fleet/src/ports.ts
@@ -34,7 +34,7 @@
   changes: (revision: number, waitMs: number, signal: AbortSignal) => Promise<Result<FactPage, StoreFailure>>
 }
 
-/** An engine's state as it reports it. */
+/** The status that an engine reports of itself. */
 export interface EngineStatus {
   /** The engine's id, if its answer contains it. */
   server?: string
--- a/packages/fleet/src/request-rank.ts
+++ b/packages/fleet/src/request-rank.ts
@@ -33,8 +33,8 @@
   prefillMs: number
 }
 
-export const rankOf = ({ priority, objectiveMs, elapsedMs, prefillMs: readingMs }: RankInput): number => {
-  const slackMs = objectiveMs - elapsedMs - readingMs
+export const rankOf = ({ priority, objectiveMs, elapsedMs, prefillMs }: RankInput): number => {
+  const slackMs = objectiveMs - elapsedMs - prefillMs
   if (slackMs < 0) return Math.min(maxRank, firstLateRank + priority)
   const first = slackMs < objectiveMs * littleSlackShare ? 0 : firstAmpleRank
   return first + Math.min(lastPriority, priority)
--- a/packages/fleet/src/server.ts
+++ b/packages/fleet/src/server.ts
@@ -1,5 +1,5 @@
 /**
- * Backend servers as the platform registers them, and references to models and adapters as requests use them.
+ * Backend servers as the store lists them, and references to models and adapters as requests use them.
  */
 import * as z from 'zod'
 
--- a/packages/fleet/src/side/attempt-report-relay.ts
+++ b/packages/fleet/src/side/attempt-report-relay.ts
@@ -1,8 +1,6 @@
 /**
- * Relays what entries observe when they attempt requests to other entries: servers that crashed while running a request,
- * requests that proved harmless, and limits that servers announced.
- *
- * Keeps these reports for entries that start or connect later.
+ * Relays the attempt reports of each entry to the others: crashes of servers, completed runs, limits that servers advertise, and
+ * probes. Keeps the reports for entries that start or connect later.
  */
 import type { RequestFingerprint } from '@finchpitch/core'
 import { CrashHistory, AdvertisedLimits, quarantineLimits } from '@finchpitch/decisions'
@@ -38,7 +36,7 @@
 
   /**
    * Answers an entry that asks to probe a request whose quarantine has expired. Only one entry is granted the probe; its outcome
-   * arrives as a report. A process that has just started grants none, as its predecessor may have granted one to another entry.
+   * arrives as a report. A process that has just started grants none, as its previous incarnation may have granted one.
    */
   #answerProbe (entry: Channel, fingerprint: RequestFingerprint, stamp: number): void {
     const now = nowMs()
--- a/packages/fleet/src/side/demands.ts
+++ b/packages/fleet/src/side/demands.ts
@@ -26,7 +26,7 @@
 
 interface EntryUses {
   at: number
-  /** Prompt tokens of the entry's requests that the engine has not processed yet. */
+  /** Prompt tokens of the entry's requests that the engine has not prefilled yet. */
   unread: number
   running: Map<string, number>
 }
@@ -101,7 +101,7 @@
     this.#uses.delete(entry)
   }
 
-  /** Prompt tokens of all entries' requests that the engine has not processed yet. */
+  /** Prompt tokens of all entries' requests that the engine has not prefilled yet. */
   get unread (): number {
     const now = nowMs()
     let sum = 0
--- a/packages/fleet/src/side/engine-update.ts
+++ b/packages/fleet/src/side/engine-update.ts
@@ -27,11 +27,11 @@
   server: string | undefined
   /** Start time of the engine in Unix ms. */
   bornAt?: number | undefined
-  /** The engine reports that it is shutting down. */
+  /** The engine reports that it is draining. */
   leaving?: boolean
   waiting: number
   running: number
-  /** Prompt tokens of all entries' requests that the engine has not processed yet. */
+  /** Prompt tokens of all entries' requests that the engine has not prefilled yet. */
   unread: number
   /** Entries of the engine's own failure domain that are connected to its side process. */
   entries: number
@@ -84,7 +84,8 @@
 
 /**
  * Fields that differ from what the subscriber received before, or all fields if it received nothing. Most updates change one or
- * two fields, and most of what updates cost a subscriber is decoding: sending all fields took an entry 1.0 of some 6% of a core.
+ * two fields, and most of what updates cost a subscriber is decoding: with all fields in each update, an entry spent 1.0% of a core
+ * on that, of some 6% in all.
  */
 const changedFields = (previous: EngineSnapshot | undefined, current: EngineSnapshot): Partial<HoldingFrame> => {
   const changed = scalarFields.filter(field => current[field] !== previous?.[field])
--- a/packages/fleet/src/side/freshness-relay.ts
+++ b/packages/fleet/src/side/freshness-relay.ts
@@ -25,9 +25,9 @@
   constructor (private readonly facts: Facts, private readonly sources: () => Channel[]) {}
 
   ask (channel: Channel, ask: FrameOf<'ask_fresh'>): void {
-    const question = { channel, ask, cameAt: boottimeMs() }
-    if (this.facts.freshness.ageMs <= maxForwardAgeMs) return answerProofRequest(this.facts, question)
-    this.#pending.push(question)
+    const request = { channel, ask, cameAt: boottimeMs() }
+    if (this.facts.freshness.ageMs <= maxForwardAgeMs) return answerProofRequest(this.facts, request)
+    this.#pending.push(request)
     if (this.#timer === undefined) this.#askNext()
   }
 
@@ -40,7 +40,7 @@
   }
 
   #askNext (): void {
-    const source = this.sources().find(channel => !this.#asked.has(channel) && this.#pending.every(question => question.channel !== channel))
+    const source = this.sources().find(channel => !this.#asked.has(channel) && this.#pending.every(request => request.channel !== channel))
     if (source === undefined) return this.#answerAll()
     this.#asked.add(source)
     requestProof(this.facts, source)
@@ -52,8 +52,8 @@
     clearTimeout(this.#timer)
     this.#timer = undefined
     this.#asked.clear()
-    const questions = this.#pending
+    const requests = this.#pending
     this.#pending = []
-    for (const question of questions) answerProofRequest(this.facts, question)
+    for (const request of requests) answerProofRequest(this.facts, request)
   }
 }
--- a/packages/fleet/src/side/load-rate-limiter.ts
+++ b/packages/fleet/src/side/load-rate-limiter.ts
@@ -19,9 +19,9 @@
 }
 
 /** This engine's loads per window, a whole number. The remainder of the division goes to the first engines. */
-export const loadsPerWindow = ({ loadsPerSecond, overage, windowMs, engineCount: engines, engineIndex: place }: LoadRateShare): number => {
+export const loadsPerWindow = ({ loadsPerSecond, overage, windowMs, engineCount, engineIndex }: LoadRateShare): number => {
   const total = Math.floor(loadsPerSecond * overage * windowMs / 1000) + allowance
-  return Math.floor(total / engines) + (place < total % engines ? 1 : 0)
+  return Math.floor(total / engineCount) + (engineIndex < total % engineCount ? 1 : 0)
 }
 
 export class LoadRateLimiter {
--- a/packages/fleet/src/side/order-sender.ts
+++ b/packages/fleet/src/side/order-sender.ts
@@ -40,7 +40,7 @@
   #fence = 0
   #server: string | undefined
   #bornAt: number | undefined
-  /** The engine's id as it last reported it, or as the server list last had it. */
+  /** The engine's id by its last status, or by the server list. */
   #knownId: string | undefined
 
   constructor (private readonly options: OrderSenderOptions) {}
@@ -79,7 +79,7 @@
   }
 
   /**
-   * Updates the engine's id from its state report (`reportedId`) or, if that has none, from the server list. A change of this id
+   * Updates the engine's id from its status (`reportedId`) or, if that has none, from the server list. A change of this id
    * takes precedence; until it changes, the id that an engine stated when it refused an order is used.
    */
   updateEngineId (reportedId: string | undefined): void {
@@ -125,7 +125,7 @@
     this.#server = server
   }
 
-  /** Id of the backend server listed at the engine's address. If there are several, the one that registered last. */
+  /** Id of the backend server listed at the engine's address. If there are several, the one whose entry changed last. */
   #findListedId (): string | undefined {
     const { facts, engineAddress } = this.options
     const candidates = [...facts.servers.values()].filter(server => server.address === engineAddress)
--- a/packages/fleet/src/side/placement.ts
+++ b/packages/fleet/src/side/placement.ts
@@ -1,7 +1,7 @@
 /**
  * Placement: decides which order to send to an engine next.
  *
- * A pure function of the state that the engine reports and of the current demands. It decides one order at a time: the engine
+ * A pure function of the engine's status and of the current demands. It decides one order at a time: the engine
  * counts the orders that it accepts, and each order names the count at which it was decided. Of several orders decided at the
  * same count, the engine carries out at most one, however late it arrives. So the state that a decision is based on can't
  * have changed when the order is carried out.
@@ -58,7 +58,7 @@
   version: number
 }
 
-const loadedAdapters = (account: EngineStatus): LoadedAdapter[] => account.models.flatMap(model =>
+const loadedAdapters = (status: EngineStatus): LoadedAdapter[] => status.models.flatMap(model =>
   Object.entries(model.adapters).map(([adapter, version]) => ({ key: refKey({ model: model.name, adapter }), version })))
 
 const none: Placement = { type: 'nothing' }
@@ -76,15 +76,15 @@
  * memory is short, a model that is neither in use nor demanded is unloaded first.
  */
 const placeModel = (input: PlacementInput): Placement | undefined => {
-  const { spec, account, demands } = input
+  const { spec, account: status, demands } = input
   const demanded = demands.map(demand => parseRef(demand.key).model).filter(name => spec.models.some(model => model.name === name))
-  const missing = demanded.find(name => !account.models.some(model => model.name === name))
-  const choice = missing ?? (account.models.length === 0 ? spec.models[0]?.name : undefined)
+  const missing = demanded.find(name => !status.models.some(model => model.name === name))
+  const choice = missing ?? (status.models.length === 0 ? spec.models[0]?.name : undefined)
   if (choice === undefined) return undefined
   const freeMb = spec.weightMemoryMb - usedMemoryMb(input)
   const sizeMb = spec.models.find(model => model.name === choice)?.memoryMb ?? Infinity
   if (sizeMb <= freeMb) return input.canLoad(choice) ? orderTo(input, 'load', choice, 'model asked for') : undefined
-  const idle = account.models.find(model => !demanded.includes(model.name) && modelUses(input, model.name) === 0)
+  const idle = status.models.find(model => !demanded.includes(model.name) && modelUses(input, model.name) === 0)
   return idle === undefined ? undefined : orderTo(input, 'unload', idle.name, `makes room for ${choice}`)
 }
 
@@ -93,22 +93,22 @@
   return adapters.reduce((sum, held) => sum + input.uses(held.key), input.uses(name))
 }
 
-const usedMemoryMb = ({ spec, account }: PlacementInput): number => {
+const usedMemoryMb = ({ spec, account: status }: PlacementInput): number => {
   const sizes = new Map(spec.models.map(model => [model.name, model]))
-  const held = account.models.reduce((sum, model) => sum + (sizes.get(model.name)?.memoryMb ?? 0), 0)
-  const adapters = [...loadedAdapters(account), ...account.coming]
+  const held = status.models.reduce((sum, model) => sum + (sizes.get(model.name)?.memoryMb ?? 0), 0)
+  const adapters = [...loadedAdapters(status), ...status.coming]
   return adapters.reduce((sum, { key }) => sum + (sizes.get(parseRef(key).model)?.adapterMemoryMb ?? 0), held)
 }
 
 /** Replaces an adapter for which a newer version is named if it is in use or popular, otherwise unloads it. */
 const replaceOutdated = (input: PlacementInput): Placement | undefined => {
-  const { account } = input
-  for (const held of loadedAdapters(account)) {
+  const { account: status } = input
+  for (const held of loadedAdapters(status)) {
     const newest = input.newestVersion(held.key)
-    if (newest === undefined || newest <= held.version || isLoading(account, held.key)) continue
+    if (newest === undefined || newest <= held.version || isLoading(status, held.key)) continue
     const idle = input.uses(held.key) === 0
     if (idle && input.popularity(held.key) < minReplaceUses) return orderTo(input, 'unload', held.key, `version ${newest} is named`)
-    if (!input.canLoad(held.key) || account.coming.length >= maxConcurrentLoads) continue
+    if (!input.canLoad(held.key) || status.coming.length >= maxConcurrentLoads) continue
     if (freeSlots(input) > 0) return orderTo(input, 'load', held.key, `replaces version ${held.version}`, newest)
     const victim = idle ? held.key : chooseVictim(input)
     if (victim !== undefined) return orderTo(input, 'unload', victim, `makes room for version ${newest} of ${held.key}`)
@@ -116,11 +116,11 @@
   return undefined
 }
 
-const isLoading = (account: EngineStatus, key: string): boolean => account.coming.some(coming => coming.key === key)
+const isLoading = (status: EngineStatus, key: string): boolean => status.coming.some(coming => coming.key === key)
 
 const freeSlots = (input: PlacementInput): number => {
-  const { spec, account } = input
-  const taken = loadedAdapters(account).length + account.coming.length
+  const { spec, account: status } = input
+  const taken = loadedAdapters(status).length + status.coming.length
   const perAdapter = Math.max(1, ...spec.models.map(model => model.adapterMemoryMb))
   const byMemory = Math.floor((spec.weightMemoryMb - usedMemoryMb(input)) / perAdapter)
   return Math.min(spec.adapterSlots - taken, byMemory)
@@ -130,23 +130,23 @@
 const assumedLoadMs = 250
 
 const chooseVictim = (input: PlacementInput): string | undefined => {
-  const residents: EvictionCandidate[] = loadedAdapters(input.account).map(({ key }) => ({
+  const candidates: EvictionCandidate[] = loadedAdapters(input.account).map(({ key }) => ({
     label: key,
     pins: input.uses(key),
     popularity: input.popularity(key),
     loadMs: assumedLoadMs
   }))
-  return selectVictim(residents)
+  return selectVictim(candidates)
 }
 
 const placeAdapter = (input: PlacementInput): Placement | undefined => {
-  const { account, demands } = input
-  const held = new Map(loadedAdapters(account).map(each => [each.key, each.version]))
+  const { account: status, demands } = input
+  const held = new Map(loadedAdapters(status).map(each => [each.key, each.version]))
   for (const { key, version, waitedMs } of demands) {
     const ref = parseRef(key)
-    if (ref.adapter === undefined || held.has(key) || isLoading(account, key)) continue
-    if (!account.models.some(model => model.name === ref.model)) return { type: 'declined', key, reason: 'unknown_model' }
-    if (account.coming.length >= maxConcurrentLoads) return undefined
+    if (ref.adapter === undefined || held.has(key) || isLoading(status, key)) continue
+    if (!status.models.some(model => model.name === ref.model)) return { type: 'declined', key, reason: 'unknown_model' }
+    if (status.coming.length >= maxConcurrentLoads) return undefined
     if (!input.canLoad(key)) return { type: 'declined', key, reason: 'load_rate' }
     if (freeSlots(input) > 0) return orderTo(input, 'load', key, 'asked for', input.newestVersion(key) ?? version)
     const victim = chooseVictim(input)
--- a/packages/fleet/src/side/poll-delay.ts
+++ b/packages/fleet/src/side/poll-delay.ts
@@ -20,11 +20,11 @@
   dueInMs: (maxMs: number) => number
 }
 
-export const nextPollDelayMs = ({ account, demandedKeys: demanded, dueInMs }: PollState): number => {
-  const loading = new Set(account.coming.map(({ key }) => key))
-  const hasUnordered = [...demanded].some(key => !loading.has(key))
+export const nextPollDelayMs = ({ account: status, demandedKeys, dueInMs }: PollState): number => {
+  const loading = new Set(status.coming.map(({ key }) => key))
+  const hasUnordered = [...demandedKeys].some(key => !loading.has(key))
   if (hasUnordered) return dueInMs(pendingDemandMs)
   // The order in progress changes what the engine reports next, so this is polled for soon.
-  if (account.busy && loading.size === 0) return pendingDemandMs
+  if (status.busy && loading.size === 0) return pendingDemandMs
   return dueInMs(idlePollMs)
 }
--- a/packages/fleet/src/side/quota-bank.ts
+++ b/packages/fleet/src/side/quota-bank.ts
@@ -1,6 +1,6 @@
 /**
  * Pools spare rate-limit tokens of some entries for entries that are short of them: tokens of teams' quotas, and requests under
- * limits that servers announce.
+ * limits that servers advertise.
  *
  * Entries choose the bank of a quota by rendezvous hashing, without coordination. If they disagree for a moment, tokens only
  * take longer to get where they are needed. Tokens carry their age and expire. Tokens whose transfer time can't be bounded are
@@ -21,7 +21,7 @@
 
 /** Tokens of one quota or one limit. */
 class Pool {
-  readonly stock = new ExpiringTokens()
+  readonly tokens = new ExpiringTokens()
   /** For each entry, the tokens of its last request that were not granted, and the time of that request. */
   readonly #unmet = new Map<string, { tokens: number, at: number }>()
   askedAt = -Infinity
@@ -34,7 +34,7 @@
   share (entry: string, tokens: number, since: number): number {
     const now = boottimeMs()
     this.askedAt = now
-    return Math.min(tokens, this.stock.total(since) * tokens / (tokens + this.#unmetOfOthers(entry, now)))
+    return Math.min(tokens, this.tokens.total(since) * tokens / (tokens + this.#unmetOfOthers(entry, now)))
   }
 
   noteUnmet (entry: string, tokens: number): void {
@@ -56,20 +56,20 @@
   readonly #limitPools = new Map<string, Pool>()
 
   /** Adds the tokens that an entry gives, and answers its requests with grants. */
-  exchange (entry: string, { stamp, echo, gives, wants, servers }: FrameOf<'quota'>, lifeMs: (team: string) => number | undefined): FrameOf<'quota_grant'> {
+  exchange (entry: string, { stamp, echo, gives, wants, servers }: FrameOf<'quota'>, lifetimeOf: (team: string) => number | undefined): FrameOf<'quota_grant'> {
     const now = boottimeMs()
     if (echo !== undefined) {
       // The frame was sent after the echoed answer had arrived, so this bounds the time that it was in transit.
       const maxTransitMs = Math.max(0, now - (echo.stamp + echo.heldMs))
-      for (const [team, tokens, ageMs] of gives) poolOf(this.#teamPools, team).stock.add(tokens, now - ageMs - maxTransitMs)
-      for (const [limit, requests, ageMs] of servers?.gives ?? []) poolOf(this.#limitPools, limit).stock.add(requests, now - ageMs - maxTransitMs)
+      for (const [team, tokens, ageMs] of gives) poolOf(this.#teamPools, team).tokens.add(tokens, now - ageMs - maxTransitMs)
+      for (const [limit, requests, ageMs] of servers?.gives ?? []) poolOf(this.#limitPools, limit).tokens.add(requests, now - ageMs - maxTransitMs)
     }
     const grants: TokenAge[] = []
     for (const [team, tokens] of wants) {
-      const life = lifeMs(team)
-      if (life !== undefined) grants.push(...this.#grantTokens(entry, team, tokens, now - life))
+      const lifetimeMs = lifetimeOf(team)
+      if (lifetimeMs !== undefined) grants.push(...this.#grantTokens(entry, team, tokens, now - lifetimeMs))
     }
-    const requests = servers?.wants.flatMap(([limit, count, life]) => this.#grantRequests(entry, limit, count, now - life))
+    const requests = servers?.wants.flatMap(([limit, count, lifetimeMs]) => this.#grantRequests(entry, limit, count, now - lifetimeMs))
     this.#removeIdleLimits(now)
     return { type: 'quota_grant', stamp, bankStamp: now, grants, needed: this.#teamsInNeed(now), ...(requests === undefined ? {} : { servers: requests }) }
   }
@@ -78,7 +78,7 @@
     const pool = poolOf(this.#teamPools, team)
     const part = pool.share(entry, tokens, since)
     pool.noteUnmet(entry, tokens - part)
-    return pool.stock.takeUpTo(part, since).map(toAge(team))
+    return pool.tokens.takeUpTo(part, since).map(toAge(team))
   }
 
   /**
@@ -88,9 +88,9 @@
   #grantRequests (entry: string, limit: string, count: number, since: number): RequestAge[] {
     const pool = poolOf(this.#limitPools, limit)
     const share = Math.max(1, Math.floor(pool.share(entry, count, since)))
-    const whole = Math.min(count, share, Math.floor(pool.stock.total(since) + roundingTolerance))
+    const whole = Math.min(count, share, Math.floor(pool.tokens.total(since) + roundingTolerance))
     pool.noteUnmet(entry, count - whole)
-    return pool.stock.takeUpTo(whole, since).map(toAge(limit))
+    return pool.tokens.takeUpTo(whole, since).map(toAge(limit))
   }
 
   #teamsInNeed (now: number): string[] {
--- a/packages/fleet/src/side/side-process.ts
+++ b/packages/fleet/src/side/side-process.ts
@@ -1,7 +1,7 @@
 /**
  * The side process, a sidecar of one engine and the only process that sends it load and unload orders.
  *
- * It polls the engine's state several times a second, decides at most one order at a time, and publishes the loaded adapters and
+ * It polls the engine's status several times a second, decides at most one order at a time, and publishes the loaded adapters and
  * the load to all subscribers of the engine. It also relays updates of engines in other failure domains to the entries of its
  * own. It persists nothing: after a restart, the engine reports what is loaded and the entries repeat their demands.
  */
@@ -30,7 +30,7 @@
 import { QuotaBank } from './quota-bank.js'
 import { Subscribers } from './subscribers.js'
 
-/** Loads that a new process assumes its predecessor to have started just before, to keep within the rate limit. */
+/** Loads that a new process assumes its previous incarnation to have started just before, to keep within the rate limit. */
 const assumedLoads = 1
 
 export interface SideProcessOptions extends SideConnectionOptions {
@@ -45,8 +45,8 @@
 export class SideProcess {
   readonly demands = new Demands()
   readonly #rateLimiter = new LoadRateLimiter()
-  #account: EngineStatus | undefined
-  /** Whether `#account` was predicted from the last order rather than reported by the engine. */
+  #status: EngineStatus | undefined
+  /** Whether `#status` was predicted from the last order rather than reported by the engine. */
   #isPredicted = false
   #failedPolls = 0
   readonly #orderSender: OrderSender
@@ -67,10 +67,10 @@
     const { counters, engineAddress } = options
     this.#host = hostOf(engineAddress)
     this.#subscribers = new Subscribers({ ...options, host: this.#host, engineUpdate: () => this.#engineUpdate() })
-    counters.gauge('finchpitch_engine_requests_running', 'Requests running at the engine, as it reports them.', () => this.#account?.running ?? 0)
-    counters.gauge('finchpitch_engine_requests_waiting', 'Requests waiting at the engine, as it reports them.', () => this.#account?.waiting ?? 0)
-    counters.gauge('finchpitch_engine_cache_tokens_used', 'Cache tokens in use that can not be evicted, as the engine reports them.', () => this.#account?.cacheUsed ?? 0)
-    counters.gauge('finchpitch_engine_cache_tokens', 'Cache capacity of the engine in tokens, as it reports it.', () => this.#account?.cacheTotal ?? 0)
+    counters.gauge('finchpitch_engine_requests_running', 'Requests running at the engine, as it reports them.', () => this.#status?.running ?? 0)
+    counters.gauge('finchpitch_engine_requests_waiting', 'Requests waiting at the engine, as it reports them.', () => this.#status?.waiting ?? 0)
+    counters.gauge('finchpitch_engine_cache_tokens_used', 'Cache tokens in use that can not be evicted, as the engine reports them.', () => this.#status?.cacheUsed ?? 0)
+    counters.gauge('finchpitch_engine_cache_tokens', 'Cache capacity of the engine in tokens, as it reports it.', () => this.#status?.cacheTotal ?? 0)
     counters.gauge('finchpitch_peers_connected', 'Connected entries and side processes.', () => this.#subscribers.size)
     counters.gauge('finchpitch_engines_relayed', 'Engines in other failure domains whose updates are relayed.', () => this.#subscribers.relayedCount)
   }
@@ -105,13 +105,13 @@
     this.options.facts.expire()
     if (!this.#isPredicted && !await this.#poll()) return idlePollMs
     this.#isPredicted = false
-    const account = this.#account
+    const status = this.#status
     const spec = this.#spec()
-    if (account === undefined || spec === undefined || !this.#orderSender.ready || signal.aborted) return idlePollMs
-    this.#settleLoaded(account)
+    if (status === undefined || spec === undefined || !this.#orderSender.ready || signal.aborted) return idlePollMs
+    this.#settleLoaded(status)
     const placement = decidePlacement({
       spec,
-      account,
+      account: status,
       demands: this.demands.prioritized(),
       newestVersion: key => this.options.facts.version(key)?.version,
       popularity: key => this.demands.popularity(key),
@@ -123,31 +123,31 @@
       // Other demands may have to be declined as well.
       return 0
     }
-    if (placement.type === 'order') return await this.#sendOrder(account, placement.order, placement.reason)
-    return nextPollDelayMs({ account, demandedKeys: this.demands.keys(), dueInMs: maxMs => this.#loadTimes.nextPollInMs(maxMs) })
+    if (placement.type === 'order') return await this.#sendOrder(status, placement.order, placement.reason)
+    return nextPollDelayMs({ account: status, demandedKeys: this.demands.keys(), dueInMs: maxMs => this.#loadTimes.nextPollInMs(maxMs) })
   }
 
   async #poll (): Promise<boolean> {
     const { engine, log } = this.options
-    const account = await engine.status()
-    if (account.isErr()) {
-      if (this.#failedPolls === 0) log.warn('engine.lost', { detail: account.error })
+    const status = await engine.status()
+    if (status.isErr()) {
+      if (this.#failedPolls === 0) log.warn('engine.lost', { detail: status.error })
       this.#failedPolls += 1
-      this.#account = undefined
+      this.#status = undefined
       return false
     }
     if (this.#failedPolls > 0) log.info('engine.regained', { failures: this.#failedPolls })
     this.#failedPolls = 0
-    this.#account = account.value
-    this.#orderSender.updateEngineId(account.value.server)
-    this.#orderSender.recordEngineStart(account.value.bornAt)
-    this.#noteLeaving()
+    this.#status = status.value
+    this.#orderSender.updateEngineId(status.value.server)
+    this.#orderSender.recordEngineStart(status.value.bornAt)
+    this.#markDraining()
     return true
   }
 
-  #noteLeaving (): void {
+  #markDraining (): void {
     const { server, bornAt } = this.#orderSender
-    if (this.#account?.leaving === true && server !== undefined) this.options.facts.markDraining({ id: server, bornAt }, 'its account')
+    if (this.#status?.leaving === true && server !== undefined) this.options.facts.markDraining({ id: server, bornAt }, 'its account')
   }
 
   /** Called when the engine was replaced or restarted: its cached adapters and loads in progress are lost. */
@@ -171,16 +171,16 @@
     const service = this.#serviceName() ?? ''
     const engines = facts.serversOf(service).map(server => server.address).sort()
     const { loadOverage: overage, loadWindowMs: windowMs } = limits()
-    const place = Math.max(0, engines.indexOf(this.options.engineAddress))
-    return { loadsPerSecond: spec.loadsPerSecond, overage, windowMs, engineCount: Math.max(1, engines.length), engineIndex: place }
+    const engineIndex = Math.max(0, engines.indexOf(this.options.engineAddress))
+    return { loadsPerSecond: spec.loadsPerSecond, overage, windowMs, engineCount: Math.max(1, engines.length), engineIndex }
   }
 
   #canLoad (spec: EngineSpec): boolean {
     return this.#rateLimiter.allows(this.#rateShare(spec))
   }
 
-  #settleLoaded (account: EngineStatus): void {
-    for (const [key, version] of loadedKeys(account)) {
+  #settleLoaded (status: EngineStatus): void {
+    for (const [key, version] of loadedKeys(status)) {
       this.#recordLoaded(key, version)
       if (this.demands.has(key)) this.demands.resolve(key, true)
     }
@@ -190,19 +190,19 @@
     const load = this.#loadTimes.held(key, version)
     if (load === undefined) return
     this.options.counters.loads.observe(load.ms / 1000)
-    this.options.log.info('adapter.held', { key, version, ms: Math.round(load.ms), from: load.from, orders: this.#account?.orders })
+    this.options.log.info('adapter.held', { key, version, ms: Math.round(load.ms), from: load.from, orders: this.#status?.orders })
   }
 
   #decline (key: string, reason: string): void {
     this.demands.resolve(key, false)
     this.options.counters.declined.inc({ reason })
-    this.options.log.info('demand.declined', { key, reason, orders: this.#account?.orders })
+    this.options.log.info('demand.declined', { key, reason, orders: this.#status?.orders })
     this.#subscribers.decline(key, reason)
   }
 
-  async #sendOrder (account: EngineStatus, order: EngineOrder, reason: string): Promise<number> {
+  async #sendOrder (status: EngineStatus, order: EngineOrder, reason: string): Promise<number> {
     const { outcome, at, waitMs } = await this.#orderSender.send(order, reason)
-    this.#adoptPrediction(statusAfterOrder(account, order, outcome))
+    this.#adoptPrediction(statusAfterOrder(status, order, outcome))
     const { operation, model, adapter, version } = order
     const key = refKey({ model, adapter })
     if (operation === 'load' && adapter === undefined && (outcome === 'accepted' || outcome === 'unknown')) this.#rateLimiter.recordLoad()
@@ -212,12 +212,12 @@
   }
 
   /**
-   * Continues with the predicted state after an order instead of polling again. Most loads take two orders, an unload and a load;
+   * Continues with the predicted status after an order instead of polling again. Most loads take two orders, an unload and a load;
    * with a poll after each of them, a side process polled four times per load.
    */
-  #adoptPrediction (account: EngineStatus | undefined): void {
-    if (account === undefined) return
-    this.#account = account
+  #adoptPrediction (status: EngineStatus | undefined): void {
+    if (status === undefined) return
+    this.#status = status
     this.#isPredicted = true
   }
 
@@ -241,7 +241,7 @@
       const { fence } = this.#orderSender
       if (fence > 0 && frame.highest > fence) this.options.log.info('fence.behind', { fence, highest: frame.highest })
     }
-    if (frame.type === 'quota') subscriber.channel.send(this.#quotaBank.exchange(entry, frame, team => this.#tokenLifeMs(team)))
+    if (frame.type === 'quota') subscriber.channel.send(this.#quotaBank.exchange(entry, frame, team => this.#tokenLifetimeMs(team)))
     if (frame.type === 'want') {
       this.demands.ask(frame)
       subscriber.recordDemand(frame.key)
@@ -250,16 +250,16 @@
     }
   }
 
-  #tokenLifeMs (name: string): number | undefined {
+  #tokenLifetimeMs (name: string): number | undefined {
     const { facts, limits } = this.options
     const quota = facts.routes?.team(name)?.quota
     return quota === undefined ? undefined : tokenLifetimeMs(quota, quotaBoundOf(limits()))
   }
 
   #publish (): void {
-    const account = this.#account
-    const held = account === undefined ? this.#held : loadedKeys(account)
-    const coming = account?.coming.map(each => each.key) ?? []
+    const status = this.#status
+    const held = status === undefined ? this.#held : loadedKeys(status)
+    const coming = status?.coming.map(each => each.key) ?? []
     if (!isDeepStrictEqual(held, this.#held) || !isDeepStrictEqual(coming, this.#coming)) {
       this.#changes += 1
       for (const key of diffKeys(this.#held, held).went) this.#warm.add(key, this.#held.get(key) ?? 0)
@@ -270,7 +270,7 @@
   }
 
   #engineUpdate (): EngineUpdate {
-    const account = this.#account
+    const status = this.#status
     const { near, strangers } = this.#subscribers.entries
     return new EngineUpdate({
       host: this.#host,
@@ -278,12 +278,12 @@
       held: this.#held,
       coming: this.#coming,
       warm: () => this.#warm.all(),
-      reachable: account !== undefined,
+      reachable: status !== undefined,
       server: this.#orderSender.server,
       bornAt: this.#orderSender.bornAt,
-      leaving: account?.leaving ?? false,
-      waiting: account?.waiting ?? 0,
-      running: account?.running ?? 0,
+      leaving: status?.leaving ?? false,
+      waiting: status?.waiting ?? 0,
+      running: status?.running ?? 0,
       unread: this.demands.unread,
       entries: near,
       strangers,
@@ -306,9 +306,9 @@
   }
 }
 
-const loadedKeys = (account: EngineStatus): LoadedVersions => {
+const loadedKeys = (status: EngineStatus): LoadedVersions => {
   const held = new Map<string, number>()
-  for (const model of account.models) {
+  for (const model of status.models) {
     held.set(model.name, model.version)
     for (const [adapter, version] of Object.entries(model.adapters)) held.set(refKey({ model: model.name, adapter }), version)
   }
--- a/packages/fleet/src/side/status-after-order.ts
+++ b/packages/fleet/src/side/status-after-order.ts
@@ -1,8 +1,8 @@
 /**
- * Predicts the state that an engine will report after it has accepted an order. Pure function.
+ * Predicts the status that an engine will report after it has accepted an order. Pure function.
  *
  * The next order can then be decided without polling the engine again. A wrong prediction does no harm: an order decided on a
- * state that the engine isn't in also names a wrong order count, and the engine refuses it. Without further orders, the state
+ * status that the engine isn't in also names a wrong order count, and the engine refuses it. Without further orders, the status
  * changes only by loads that complete, which take up no further slot.
  */
 import type { EngineStatus, EngineOrder, OrderOutcome } from '../ports.js'
@@ -12,14 +12,14 @@
 const placeholderVersion = 1
 
 /** `undefined` if the engine has to be polled: loading a model takes seconds, and an unload may wait for running requests. */
-export const statusAfterOrder = (account: EngineStatus, order: EngineOrder, outcome: OrderOutcome): EngineStatus | undefined => {
+export const statusAfterOrder = (status: EngineStatus, order: EngineOrder, outcome: OrderOutcome): EngineStatus | undefined => {
   const { operation, model, adapter, version } = order
   if (adapter === undefined) return undefined
-  const orders = account.orders + 1
+  const orders = status.orders + 1
   if (operation === 'load' && outcome === 'accepted') {
-    return { ...account, orders, coming: [...account.coming, { key: refKey({ model, adapter }), version: version ?? placeholderVersion }] }
+    return { ...status, orders, coming: [...status.coming, { key: refKey({ model, adapter }), version: version ?? placeholderVersion }] }
   }
-  if (operation === 'unload' && outcome === 'done') return { ...account, orders, models: account.models.map(held => held.name === model ? withoutAdapter(held, adapter) : held) }
+  if (operation === 'unload' && outcome === 'done') return { ...status, orders, models: status.models.map(held => held.name === model ? withoutAdapter(held, adapter) : held) }
   return undefined
 }
 
--- a/packages/fleet/src/side/subscriber.ts
+++ b/packages/fleet/src/side/subscriber.ts
@@ -20,7 +20,7 @@
 const demandTtlMs = 3000
 
 /**
- * Interval at which dependents are told that their data is still complete. Without changes in the store there is no new revision
+ * Interval at which dependents are notified that their data is still complete. Without changes in the store there is no new revision
  * to report, and a dependent without reports for 6 s watches the store itself.
  */
 const confirmIntervalMs = 900
@@ -64,13 +64,13 @@
   #awaitsReply = false
   #hasSentFacts = false
 
-  constructor ({ channel, isLocal: near, engineHost: ownHost }: SubscriberOptions) {
+  constructor ({ channel, isLocal, engineHost }: SubscriberOptions) {
     this.channel = channel
-    this.isLocal = near
-    this.#engineHost = ownHost
+    this.isLocal = isLocal
+    this.#engineHost = engineHost
   }
 
-  /** Whether the peer reads the store, gets no answer from it or leaves it to others, by its last heartbeat. */
+  /** The peer's store status by its last heartbeat: it reads the store, gets no answer from it, or leaves it to others. */
   get sight (): StoreSight | undefined {
     return this.#sight
   }
@@ -83,7 +83,7 @@
     return this.#hasSentFacts
   }
 
-  /** Records what a heartbeat says about the peer's access to the store. */
+  /** Records the peer's store status from a heartbeat. */
   setSight (sight: StoreSight | undefined): void {
     if (sight === this.#sight) return
     this.#sight = sight
@@ -134,7 +134,7 @@
     this.channel.send({ type: 'caught_up', complete })
   }
 
-  /** Tells an entry whether it has to watch the store. */
+  /** Appoints an entry to watch the store, or releases it from that. */
   sendAppointment (appointment: Appointment): void {
     if (isDeepStrictEqual(appointment, this.#appointment)) return
     this.#appointment = appointment
@@ -154,7 +154,7 @@
 
   /**
    * Sends the updates that are due and, together with them, all others worth sending: most of the cost of updates to a peer is
-   * waking up for them. `own` is the state of this process's engine, `relayed` that of remote engines by host.
+   * waking up for them. `own` is the update of this process's engine, `relayed` those of remote engines by host.
    */
   publish (own: EngineUpdate, relayed: ReadonlyMap<string, EngineUpdate>): void {
     const subscriptions = this.#subscriptions(own, relayed)
--- a/packages/fleet/src/side/subscribers.ts
+++ b/packages/fleet/src/side/subscribers.ts
@@ -1,9 +1,9 @@
 /**
  * All peers connected to a side process, and the frames that each of them receives.
  *
- * Local entries subscribe to its engine and, through it, to engines in other failure domains. They are told which of them watch
- * the store; the others depend on the side process for store data. Remote side processes subscribe on behalf of their own
- * entries. Remote entries demand adapters and are only told of those.
+ * Local entries subscribe to its engine and, through it, to engines in other failure domains. It appoints some of them to
+ * watch the store; the others depend on it for store data. Remote side processes subscribe on behalf of their own
+ * entries. Remote entries demand adapters and are only notified of those.
  */
 import type { Channel, Frame, FrameOf, StoreSight } from '@finchpitch/wire'
 import { nowMs } from '../clock.js'
@@ -19,7 +19,7 @@
   domain: string
   /** Host that this process shares with its engine. */
   host: string
-  /** Current state of the engine. */
+  /** The current update of the engine. */
   engineUpdate: () => EngineUpdate
 }
 
@@ -58,10 +58,10 @@
 
   add (channel: Channel): Subscriber {
     const { domain, host, log } = this.options
-    const near = channel.peer.domain === domain
-    const subscriber = new Subscriber({ channel, isLocal: near, engineHost: host })
+    const isLocal = channel.peer.domain === domain
+    const subscriber = new Subscriber({ channel, isLocal, engineHost: host })
     this.#subscribers.add(subscriber)
-    if (near) this.#startFactExchange(subscriber)
+    if (isLocal) this.#startFactExchange(subscriber)
     else channel.setPace(idleChannelPace)
     log.info('reader.joined', { reader: channel.peer.process, domain: channel.peer.domain })
     return subscriber
@@ -87,12 +87,12 @@
 
   /** Sends each peer the updates that are due. */
   publish (): void {
-    const { facts, engineUpdate: news } = this.options
-    const own = news()
-    const { complete, serversConfirmedAt: confirmedAt } = facts
+    const { facts, engineUpdate } = this.options
+    const own = engineUpdate()
+    const { complete, serversConfirmedAt } = facts
     for (const subscriber of this.#subscribers) {
       subscriber.publish(own, this.#relay.updates)
-      subscriber.sendComplete(complete, confirmedAt)
+      subscriber.sendComplete(complete, serversConfirmedAt)
     }
     this.#appointWatchers()
   }
@@ -121,7 +121,7 @@
     if (subscriber.isLocal && subscriber.hasSentFacts && frame.sight === 'reading' && frame.complete !== undefined) this.options.facts.markAllComplete(frame.complete)
   }
 
-  /** Combined view of the store of the local entries: `reading` if any of them reads it, else `blind` if any of them gets no answer. */
+  /** Combined store status of the local entries: `reading` if any of them reads it, else `blind` if any of them gets no answer. */
   #localStoreSight (): StoreSight {
     const sights = new Set([...this.#subscribers].filter(subscriber => subscriber.isLocal && !subscriber.relay).map(subscriber => subscriber.sight))
     return (['reading', 'blind'] as const).find(sight => sights.has(sight)) ?? 'resting'
@@ -158,7 +158,7 @@
   #appointWatchers (): void {
     const now = nowMs()
     const entries = [...this.#subscribers].filter(subscriber => subscriber.isLocal && !subscriber.relay)
-    const { selected: named, outage } = selectWatchers(entries.map(({ channel, sight, lastHeardAt: heardAt }) => ({ process: channel.peer.process, silentMs: now - heardAt, sight })))
-    for (const subscriber of entries) subscriber.sendAppointment({ type: 'appoint', watch: named.has(subscriber.channel.peer.process), outage })
+    const { selected, outage } = selectWatchers(entries.map(({ channel, sight, lastHeardAt }) => ({ process: channel.peer.process, silentMs: now - lastHeardAt, sight })))
+    for (const subscriber of entries) subscriber.sendAppointment({ type: 'appoint', watch: selected.has(subscriber.channel.peer.process), outage })
   }
 }
--- a/packages/fleet/src/side/watchers.ts
+++ b/packages/fleet/src/side/watchers.ts
@@ -33,8 +33,8 @@
   const responsive = candidates.filter(candidate => candidate.silentMs < silenceMs)
   const withStore = responsive.filter(candidate => candidate.sight !== 'blind')
   const eligible = withStore.length > 0 ? withStore : responsive.length > 0 ? responsive : candidates
-  const named = new Set(eligible.map(candidate => candidate.process).sort().slice(0, maxWatchers))
-  return { selected: named, outage: responsive.length > 0 && withStore.length === 0 }
+  const selected = new Set(eligible.map(candidate => candidate.process).sort().slice(0, maxWatchers))
+  return { selected, outage: responsive.length > 0 && withStore.length === 0 }
 }
 
 /** Number of watchers in a failure domain with `entries` entries. */
--- a/packages/fleet/test/attempt.test.ts
+++ b/packages/fleet/test/attempt.test.ts
@@ -30,13 +30,13 @@
   let server: Server
   let permitted: boolean
   let received: number
-  let reports: ServerFeedback[]
+  let serverFeedback: ServerFeedback[]
   let answer: (response: ServerResponse) => void
 
   beforeEach(async () => {
     permitted = true
     received = 0
-    reports = []
+    serverFeedback = []
     answer = response => { response.writeHead(200, { 'request-id': 'r', seal: 's' }).end('answer') }
     server = createServer((_request, response) => {
       received += 1
@@ -63,7 +63,7 @@
     delivery: { started: false } as unknown as CallerResponse,
     cancellation: new Cancellation(),
     onResponse: () => {},
-    onServerFeedback: word => reports.push(word)
+    onServerFeedback: feedback => serverFeedback.push(feedback)
   })
 
   it('does not time out during a stall of this process if the connection was established in time', async () => {
@@ -95,19 +95,19 @@
       it(title, async () => {
         answer = respond
         await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-        expect(reports.map(word => word.leaving)).to.deep.equal([true])
+        expect(serverFeedback.map(feedback => feedback.leaving)).to.deep.equal([true])
       })
     }
 
     it('but ignores the headers of another server', async () => {
       answer = response => response.writeHead(421, { 'not-run': '1', 'server-id': 'another', ...leaving }).end()
       await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-      expect(reports).to.deep.equal([])
+      expect(serverFeedback).to.deep.equal([])
     })
   })
 
   describe('reports the backoff that the server asks for', () => {
-    const backoffs: Array<[status: number, retryAfter: string | undefined, restMs: number | undefined]> = [
+    const backoffs: Array<[status: number, retryAfter: string | undefined, backoffMs: number | undefined]> = [
       [503, '3', 3000],
       [503, '0.25', 250],
       [503, undefined, undefined],
@@ -122,18 +122,18 @@
       [500, '3', undefined]
     ]
 
-    for (const [status, retryAfter, restMs] of backoffs) {
+    for (const [status, retryAfter, backoffMs] of backoffs) {
       for (const mark of [{}, { 'not-run': '1' }]) {
         it(`${status} with ${retryAfter ?? 'nothing'}${'not-run' in mark ? ', not run' : ''}`, async () => {
           answer = response => response.writeHead(status, { 'request-id': 'r', seal: 's', ...mark, ...(retryAfter === undefined ? {} : { 'retry-after': retryAfter }) }).end()
           await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-          expect(reports.map(word => word.backoffMs)).to.deep.equal([restMs])
+          expect(serverFeedback.map(feedback => feedback.backoffMs)).to.deep.equal([backoffMs])
         })
       }
     }
   })
 
-  describe('reports the rate limit that the server states', () => {
+  describe('reports the limit that the server advertises', () => {
     const limits: Array<[named: string | undefined, perSecond: number | undefined]> = [
       ['4.8', 4.8],
       [' 1.3 ', 1.3],
@@ -157,7 +157,7 @@
         it(`${status} with ${named === undefined ? 'nothing' : `"${named.slice(0, 12)}"`}`, async () => {
           answer = response => response.writeHead(status, { 'request-id': 'r', seal: 's', ...(named === undefined ? {} : { limit: named }) }).end()
           await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
-          expect(reports.map(word => word.limitPerSecond)).to.deep.equal([perSecond])
+          expect(serverFeedback.map(feedback => feedback.limitPerSecond)).to.deep.equal([perSecond])
         })
       }
     }
--- a/packages/fleet/test/balancer.test.ts
+++ b/packages/fleet/test/balancer.test.ts
@@ -31,7 +31,7 @@
     expect(create().balancer.choose(selection)).to.include({ type: 'send', id: '1' })
   })
 
-  it('loads the adapter elsewhere once the registration of its only holder has disappeared', () => {
+  it('loads the adapter elsewhere once the entry of its only holder has vanished', () => {
     const { facts, balancer } = create()
     facts.offer({ kind: 'server', key: '1', revision: 2 + removalRevisionStep, value: undefined }, 'store')
     expect(balancer.choose(selection)).to.include({ type: 'bring', ask: '2' })
@@ -88,7 +88,7 @@
     expect(balancer.state(server('1')).agent.maxSockets).to.equal(engines.maxConnections)
   })
 
-  it('falls back to servers whose registration has disappeared when no others are left', () => {
+  it('selects fallback servers when no others are left', () => {
     const { facts, balancer } = create()
     for (const id of ['1', '2']) facts.offer({ kind: 'server', key: id, revision: 2 + removalRevisionStep, value: undefined }, 'store')
     expect(balancer.choose(selection)).to.include({ type: 'send', id: '1' })
@@ -153,7 +153,7 @@
       expect(balancer.choose(selection).type).to.equal('send')
     })
 
-    it('keeps the backoff when a registration lapses and returns, but not for the next incarnation', () => {
+    it('keeps the backoff when a server\'s entry vanishes and returns, but not for the next incarnation', () => {
       const first = { ...server('3'), bornAt: 10 }
       const state = balancer.state(first)
       balancer.backOff(first, state, 3000, 'r')
@@ -167,7 +167,7 @@
     })
   })
 
-  it('keeps unregistered servers in reserve no longer than requests may go there, counted from the answer of the store', () => {
+  it('keeps fallback servers no longer than requests may go there, counted from the answer of the store', () => {
     expect(fallbackRetentionMs(700, 2000)).to.equal(1000)
     expect(fallbackRetentionMs(1800, 3000)).to.equal(750)
     expect(fallbackRetentionMs(5000, 2000)).to.equal(0)
--- a/packages/fleet/test/choice.test.ts
+++ b/packages/fleet/test/choice.test.ts
@@ -2,13 +2,13 @@
 import { chooseEngine, choosePlain, type EngineCandidate, type ServerCandidate } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
-const option = (id: string, domain: string, more: Partial<EngineCandidate> = {}): EngineCandidate => ({
+const candidate = (id: string, domain: string, more: Partial<EngineCandidate> = {}): EngineCandidate => ({
   id, hash: hashOf(id), domain, load: 0, slots: 10, unhealthy: false, fallback: false, holds: false, coming: false, expectedMs: 20, warm: false, canRequestLoad: true, ...more
 })
 const plain = (id: string, domain: string, more: Partial<ServerCandidate> = {}): ServerCandidate =>
   ({ id, hash: hashOf(id), domain, load: 0, slots: 6, unhealthy: false, fallback: false, ...more })
-const engine = (options: EngineCandidate[], domain = 'a'): ReturnType<typeof chooseEngine> =>
-  chooseEngine({ candidates: options, domain, key: 'm/x', inTimeMs: 600 })
+const engine = (candidates: EngineCandidate[], domain = 'a'): ReturnType<typeof chooseEngine> =>
+  chooseEngine({ candidates, domain, key: 'm/x', inTimeMs: 600 })
 
 describe('server selection', () => {
   describe('among plain servers', () => {
@@ -22,7 +22,7 @@
       expect(choosePlain([plain('near', 'a', { unhealthy: true })], 'a')).to.include({ id: 'near' })
     })
 
-    it('selects a server whose registration has lapsed only as a last resort', () => {
+    it('selects a fallback server only as a last resort', () => {
       expect(choosePlain([plain('near', 'a', { fallback: true }), plain('far', 'b', { unhealthy: true })], 'a')).to.include({ id: 'far' })
       expect(choosePlain([plain('near', 'a', { fallback: true })], 'a')).to.include({ id: 'near' })
     })
@@ -35,46 +35,46 @@
 
   describe('among engines', () => {
     it('selects an engine that holds the adapter, in the own domain first', () => {
-      expect(engine([option('near', 'a', { holds: true, load: 5 }), option('far', 'b', { holds: true })])).to.include({ type: 'send', id: 'near' })
+      expect(engine([candidate('near', 'a', { holds: true, load: 5 }), candidate('far', 'b', { holds: true })])).to.include({ type: 'send', id: 'near' })
     })
 
     it('selects the holder that is expected to answer first, whatever its load', () => {
-      const options = ['p', 'q', 'r', 's'].map((id, index) => option(id, 'a', { holds: true, load: index, expectedMs: 500 - index * 100 }))
-      expect(engine(options)).to.include({ id: 's' })
+      const candidates = ['p', 'q', 'r', 's'].map((id, index) => candidate(id, 'a', { holds: true, load: index, expectedMs: 500 - index * 100 }))
+      expect(engine(candidates)).to.include({ id: 's' })
     })
 
     it('selects another domain only if that is faster by more than the cross-domain penalty', () => {
-      const near = option('near', 'a', { holds: true, expectedMs: 300 })
-      expect(engine([near, option('far', 'b', { holds: true, expectedMs: 255 })])).to.include({ id: 'near' })
-      expect(engine([near, option('far', 'b', { holds: true, expectedMs: 100 })])).to.include({ id: 'far' })
+      const local = candidate('near', 'a', { holds: true, expectedMs: 300 })
+      expect(engine([local, candidate('far', 'b', { holds: true, expectedMs: 255 })])).to.include({ id: 'near' })
+      expect(engine([local, candidate('far', 'b', { holds: true, expectedMs: 100 })])).to.include({ id: 'far' })
     })
 
     it('selects a holder in another domain rather than load the adapter again', () => {
-      expect(engine([option('near', 'a'), option('far', 'b', { holds: true })])).to.include({ type: 'send', id: 'far' })
+      expect(engine([candidate('near', 'a'), candidate('far', 'b', { holds: true })])).to.include({ type: 'send', id: 'far' })
     })
 
     it('requests a load from the same engine in every domain, and from another if that one can not be asked', () => {
-      const options = [option('p', 'a'), option('q', 'a'), option('r', 'b')]
-      const first = engine(options)
+      const candidates = [candidate('p', 'a'), candidate('q', 'a'), candidate('r', 'b')]
+      const first = engine(candidates)
       expect(first.type).to.equal('bring')
-      for (const domain of ['a', 'b', 'c']) expect(engine(options, domain)).to.deep.equal(first)
+      for (const domain of ['a', 'b', 'c']) expect(engine(candidates, domain)).to.deep.equal(first)
       const asked = first.type === 'bring' ? first.ask : undefined
-      const second = engine(options.map(each => each.id === asked ? { ...each, canRequestLoad: false } : each))
+      const second = engine(candidates.map(each => each.id === asked ? { ...each, canRequestLoad: false } : each))
       expect(second).to.have.property('ask').that.is.oneOf(['p', 'q', 'r']).and.not.equal(asked)
     })
 
     it('prefers loading from a copy in memory, even in another domain, to the weight store', () => {
-      expect(engine([option('p', 'a'), option('q', 'b', { warm: true })])).to.deep.include({ ask: 'q' })
+      expect(engine([candidate('p', 'a'), candidate('q', 'b', { warm: true })])).to.deep.include({ ask: 'q' })
     })
 
     it('waits for engines that can not be asked yet, and returns none if there are no engines', () => {
-      expect(engine([option('p', 'a', { canRequestLoad: false })])).to.deep.include({ type: 'bring', ask: undefined })
+      expect(engine([candidate('p', 'a', { canRequestLoad: false })])).to.deep.include({ type: 'bring', ask: undefined })
       expect(engine([]).type).to.equal('none')
     })
 
     it('requests a load from the engine that starts first if that is faster by more than the affinity penalty', () => {
-      const loadTarget = (options: EngineCandidate[]): unknown => Object.entries(engine(options)).find(([name]) => name === 'ask')?.[1]
-      const [p, q] = [option('p', 'a'), option('q', 'a')]
+      const loadTarget = (candidates: EngineCandidate[]): unknown => Object.entries(engine(candidates)).find(([name]) => name === 'ask')?.[1]
+      const [p, q] = [candidate('p', 'a'), candidate('q', 'a')]
       const other = loadTarget([p, q]) === 'p' ? 'q' : 'p'
       const slow = (ms: number): EngineCandidate[] => [p, q].map(each => each.id === other ? each : { ...each, expectedMs: ms })
       expect(loadTarget(slow(200))).to.not.equal(other)
@@ -82,18 +82,18 @@
     })
 
     it('waits for a replica if the only holder would miss the objective, and selects the holder if a replica would not help', () => {
-      const holder = option('p', 'a', { holds: true, expectedMs: 1500 })
-      expect(engine([holder, option('q', 'b')])).to.deep.include({ type: 'bring', ask: 'q', held: true })
-      expect(engine([holder, option('q', 'b', { expectedMs: 900 })])).to.include({ type: 'send', id: 'p' })
-      expect(engine([{ ...holder, expectedMs: 500 }, option('q', 'b')])).to.include({ type: 'send', id: 'p' })
+      const holder = candidate('p', 'a', { holds: true, expectedMs: 1500 })
+      expect(engine([holder, candidate('q', 'b')])).to.deep.include({ type: 'bring', ask: 'q', held: true })
+      expect(engine([holder, candidate('q', 'b', { expectedMs: 900 })])).to.include({ type: 'send', id: 'p' })
+      expect(engine([{ ...holder, expectedMs: 500 }, candidate('q', 'b')])).to.include({ type: 'send', id: 'p' })
     })
 
     it('waits for an adapter that is being loaded', () => {
-      expect(engine([option('p', 'a', { coming: true }), option('q', 'a')])).to.deep.include({ type: 'bring', ask: undefined })
+      expect(engine([candidate('p', 'a', { coming: true }), candidate('q', 'a')])).to.deep.include({ type: 'bring', ask: undefined })
     })
 
     it('requests another replica when the holders are at capacity', () => {
-      expect(engine([option('p', 'a', { holds: true, load: 12 }), option('q', 'a')])).to.deep.include({ type: 'bring', ask: 'q' })
+      expect(engine([candidate('p', 'a', { holds: true, load: 12 }), candidate('q', 'a')])).to.deep.include({ type: 'bring', ask: 'q' })
     })
   })
 })
--- a/packages/fleet/test/fact-exchange.test.ts
+++ b/packages/fleet/test/fact-exchange.test.ts
@@ -10,8 +10,8 @@
 describe('FactLink', () => {
   let time: FakeTime
   let facts: Facts
-  let near: Channel
-  let far: Channel
+  let local: Channel
+  let remote: Channel
   let received: number[]
 
   beforeEach(() => {
@@ -19,21 +19,21 @@
     facts = new Facts(quietLog, () => 1000)
     received = []
     const [one, other] = duplexPair()
-    near = new Channel(one, channelOptions('near'))
-    far = new Channel(other, channelOptions('far'))
-    void (async () => { for await (const frame of near.frames()) void frame })()
-    void (async () => { for await (const frame of far.frames()) if (frame.type === 'fact') received.push(frame.revision) })()
+    local = new Channel(one, channelOptions('near'))
+    remote = new Channel(other, channelOptions('far'))
+    void (async () => { for await (const frame of local.frames()) void frame })()
+    void (async () => { for await (const frame of remote.frames()) if (frame.type === 'fact') received.push(frame.revision) })()
   })
 
   afterEach(() => {
-    near.close()
-    far.close()
+    local.close()
+    remote.close()
     time.restore()
   })
 
   it('sends changes immediately to a peer without another source', async () => {
     await time.settle()
-    const link = new FactLink(facts, near, 0, quietLog)
+    const link = new FactLink(facts, local, 0, quietLog)
     link.start()
     facts.offer(fact(3), 'store')
     await time.settle()
@@ -44,7 +44,7 @@
     it('sends everything after the short delay', async () => {
       facts.offer(fact(3), 'store')
       await time.settle()
-      new FactLink(facts, near, 1500, quietLog).start(250)
+      new FactLink(facts, local, 1500, quietLog).start(250)
       await time.pass(300)
       expect(received).to.deep.equal([3])
     })
@@ -52,7 +52,7 @@
     it('sends nothing if the peer reads the store in the meantime', async () => {
       facts.offer(fact(3), 'store')
       await time.settle()
-      const link = new FactLink(facts, near, 1500, quietLog)
+      const link = new FactLink(facts, local, 1500, quietLog)
       link.start(250)
       link.updateComplete(complete(3))
       await time.pass(2000)
@@ -80,7 +80,7 @@
 
   it('does not send what the peer reports to have before the delay ends', async () => {
     await time.settle()
-    const link = new FactLink(facts, near, 1500, quietLog)
+    const link = new FactLink(facts, local, 1500, quietLog)
     link.start()
     facts.offer(fact(3), 'store')
     await time.pass(1000)
@@ -98,7 +98,7 @@
     })
 
     it('sends the removal to a peer that is complete only up to a revision before the removal was observed', async () => {
-      const link = new FactLink(facts, near, 0, quietLog)
+      const link = new FactLink(facts, local, 0, quietLog)
       link.start()
       await time.settle()
       link.updateComplete({ table: 50, server: 50, version: 50 })
@@ -111,7 +111,7 @@
       const other = new Facts(quietLog, () => 1000)
       const server = { id: 's', service: 'llm', address: '10.0.0.1:1', domain: 'a', slots: 8, leaving: false, models: [] }
       other.offer({ kind: 'server', key: 's', revision: 3, value: server }, 'store')
-      const receiver = new FactLink(other, near, 0, quietLog)
+      const receiver = new FactLink(other, local, 0, quietLog)
       receiver.handleFact({ type: 'fact', kind: 'server', key: 's', revision: 3.5, seenAt: 90, value: null })
       expect(other.servers.size).to.equal(1)
       other.offer({ kind: 'server', key: 's', revision: 4, value: server }, 'store')
@@ -123,7 +123,7 @@
     })
 
     it('sends nothing to a peer that has read the store since the removal was observed', async () => {
-      const link = new FactLink(facts, near, 1500, quietLog)
+      const link = new FactLink(facts, local, 1500, quietLog)
       link.start()
       link.updateComplete({ table: 50, server: 90, version: 50 })
       facts.offer(removal, 'store')
@@ -134,7 +134,7 @@
 
   it('sends pending facts immediately once the peer loses its other source', async () => {
     await time.settle()
-    const link = new FactLink(facts, near, 1500, quietLog)
+    const link = new FactLink(facts, local, 1500, quietLog)
     link.start()
     facts.offer(fact(3), 'store')
     await time.settle()
@@ -146,7 +146,7 @@
 
   it('sends only the newest revision of what the peer still lacks after the delay', async () => {
     await time.settle()
-    const link = new FactLink(facts, near, 1500, quietLog)
+    const link = new FactLink(facts, local, 1500, quietLog)
     link.start()
     facts.offer(fact(3), 'store')
     await time.pass(200)
--- a/packages/fleet/test/fact-watch.test.ts
+++ b/packages/fleet/test/fact-watch.test.ts
@@ -40,16 +40,16 @@
   let time: FakeTime
   let facts: Facts
   let source: ScriptedSource
-  let outage: StoreHealth
-  let turn: DutySwitch
+  let storeHealth: StoreHealth
+  let duty: DutySwitch
   let stop: AbortController
 
   beforeEach(() => {
     time = new FakeTime()
     facts = new Facts(quietLog, () => 1000)
     source = new ScriptedSource()
-    outage = new StoreHealth()
-    turn = new DutySwitch()
+    storeHealth = new StoreHealth()
+    duty = new DutySwitch()
     stop = new AbortController()
   })
 
@@ -58,7 +58,7 @@
     time.restore()
   })
 
-  const start = (): void => { void watchFacts({ source, facts, log: quietLog, signal: stop.signal, outage, duty: turn, pauseMs: () => 500 }) }
+  const start = (): void => { void watchFacts({ source, facts, log: quietLog, signal: stop.signal, outage: storeHealth, duty, pauseMs: () => 500 }) }
 
   it('lists once, then watches for changes with pauses in between', async () => {
     source.facts = [named('a', 1)]
@@ -72,13 +72,13 @@
     it('makes no calls, and resumes from the revision that their updates reached', async () => {
       start()
       await time.pass(100)
-      turn.setActive(false)
+      duty.setActive(false)
       await time.pass(5000)
       const asked = source.calls.length
       await time.pass(20_000)
       expect(source.calls.length).to.equal(asked)
       facts.markAllComplete({ table: 0, server: 0, version: 40 })
-      turn.setActive(true)
+      duty.setActive(true)
       await time.pass(50)
       expect(source.calls.at(-1)).to.equal('changes 40')
     })
@@ -86,10 +86,10 @@
     it('lists again if the history is gone when it resumes', async () => {
       start()
       await time.pass(100)
-      turn.setActive(false)
+      duty.setActive(false)
       await time.pass(5000)
       source.failure = { code: 'compacted', detail: '' }
-      turn.setActive(true)
+      duty.setActive(true)
       await time.pass(50)
       source.failure = undefined
       await time.pass(1000)
@@ -100,13 +100,13 @@
   it('reports the store as failing until it answers again', async () => {
     start()
     await time.pass(100)
-    expect(outage.failing).to.equal(false)
+    expect(storeHealth.failing).to.equal(false)
     source.failure = { code: 'turned_away', detail: '' }
     await time.pass(600)
-    expect(outage.failing).to.equal(true)
+    expect(storeHealth.failing).to.equal(true)
     source.failure = undefined
     await time.pass(1000)
-    expect(outage.failing).to.equal(false)
+    expect(storeHealth.failing).to.equal(false)
   })
 
   it('lists again when the history is gone, and drops facts that are no longer listed', async () => {
@@ -142,7 +142,7 @@
     await time.pass(3000)
     const asked = source.calls.length
     source.hang = false
-    outage.recheck()
+    storeHealth.recheck()
     await time.pass(50)
     expect(source.calls.length).to.be.greaterThan(asked)
   })
@@ -154,7 +154,7 @@
     await time.pass(1000)
     source.hang = false
     source.facts = [named('a', 2)]
-    outage.noteHistoryLoss()
+    storeHealth.noteHistoryLoss()
     await time.pass(50)
     expect(facts.version('m/a')?.version).to.equal(2)
   })
@@ -243,10 +243,10 @@
     it('lists again and makes the other tasks list again', async () => {
       start()
       await time.pass(100)
-      const before = outage.historyLosses
+      const before = storeHealth.historyLosses
       await restore([named('a', restored(1))])
       expect(source.calls.filter(call => call === 'list').length).to.be.at.least(2)
-      expect(outage.historyLosses).to.be.greaterThan(before)
+      expect(storeHealth.historyLosses).to.be.greaterThan(before)
       expect(facts.revisionOf('version', 'm/a')).to.equal(restored(1))
     })
 
@@ -277,7 +277,7 @@
       await restore([entry('1', restored(1)), entry('2', restored(2))])
       expect(listed()).to.deep.equal(['2'])
       source.facts = [entry('2', restored(2))]
-      outage.noteHistoryLoss()
+      storeHealth.noteHistoryLoss()
       await time.pass(10_000)
       facts.expire()
       expect(listed()).to.deep.equal(['2'])
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -234,12 +234,12 @@
       expect(await ask({ path: '/stream/x', id: nextId(), model: 'base/h1' })).to.include({ status: 200 })
     })
 
-    it('are sent through another side process if the nearest one does not respond', async () => {
-      const near = fleet.sides.find(each => each.name.startsWith('side-d0'))
-      if (near?.process === undefined) throw new Error('there is a side process near entry 0')
-      near.process.kill('SIGSTOP')
+    it('are sent through another side process if the local one does not respond', async () => {
+      const localSide = fleet.sides.find(each => each.name.startsWith('side-d0'))
+      if (localSide?.process === undefined) throw new Error('no side process in the failure domain of entry 0')
+      localSide.process.kill('SIGSTOP')
       const replies = await Promise.all(['s1', 's2'].map(async adapter => await ask({ path: '/stream/x', id: nextId(), model: `base/${adapter}` })))
-      near.process.kill('SIGCONT')
+      localSide.process.kill('SIGCONT')
       expect(replies.map(reply => reply.status)).to.deep.equal([200, 200])
       await pause(settleMs)
     })
--- a/packages/fleet/test/freshness.test.ts
+++ b/packages/fleet/test/freshness.test.ts
@@ -199,7 +199,7 @@
     const lease = new KeyLease(facts, () => ({ revokeMs: 5000 }))
     const log = { info: (event: string, fields: { held?: boolean }) => { if (event === 'keys.lease_changed') logged.push(fields.held) } } as unknown as Log
     const watch = { prove: async () => { proved += 1 }, get watching () { return watching } }
-    const links = { askFresh: (far: boolean) => { asked.push(far) }, get outage () { return false } }
+    const links = { askFresh: (remote: boolean) => { asked.push(remote) }, get outage () { return false } }
     keeper = new LeaseKeeper({ lease, facts, links, watch, log })
   })
 
--- a/packages/fleet/test/leaving-servers.test.ts
+++ b/packages/fleet/test/leaving-servers.test.ts
@@ -1,24 +1,24 @@
 /*
- * Guards against sending requests to a server whose answers say that it is leaving. The store was silent and kept listing an
- * engine as ready while each of its answers said that it was leaving. Two entries passed such answers on and kept sending it
- * requests for 6 s, until it ended; 2 s are allowed. An entry evaluated what an answer says about the request, but not what it
- * says about its server, so it could learn from the store only that a server leaves.
+ * Guards against sending requests to a server whose answers say that it is draining. The store was silent and kept listing an
+ * engine as ready while each of its answers said that it was draining. Two entries forwarded such answers and kept sending it
+ * requests for 6 s, until it stopped; 2 s are allowed. An entry evaluated what an answer says about the request, but not what it
+ * says about its server, so it could learn only from the store that a server drains.
  *
  * In the logs: 60 lines `request.ended` with this engine as the server after the first such answer, with the reason `held across`
- * as before, and no line of any entry about its leaving.
+ * as before, and no line of any entry about its draining.
  */
 import { pause } from '@finchpitch/core'
 import { FleetLoad, FleetSystem, eventually, type BackendStandIn, type Machine, type Sent } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-/** From this long after the entry got an answer that says so, a leaving server may receive no request that arrives at the entry. */
+/** From this long after the entry got an answer that says so, a draining server may receive no request that arrives at the entry. */
 const drainMs = 2000
 const requestIntervalMs = 40
 /** Less than a request waits if a server may still appear: a fifth of the 150 ms of the route. */
 const immediateMs = 25
 const paths = ['/stream/x', '/again/x']
 
-describe('servers whose answers say that they are leaving', function () {
+describe('servers whose answers say that they are draining', function () {
   this.timeout(60_000)
   const network = 38
   let fleet: FleetSystem
@@ -88,7 +88,7 @@
     engine.leaving = false
     engine.bornAt = 2000
     fleet.list(engine)
-    // The other engines leave, so that this is the only one left.
+    // The other engines drain, so that only this one takes requests.
     leave(...fleet.engines.filter(each => each !== engine))
     await pause(2000)
     const sent = await load.sendFor(500, requestIntervalMs, paths)
--- a/packages/fleet/test/load-rate-limiter.test.ts
+++ b/packages/fleet/test/load-rate-limiter.test.ts
@@ -2,7 +2,7 @@
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-const share = (engines: number, place: number): LoadRateShare => ({ loadsPerSecond: 9.3, overage: 1.1, windowMs: 5000, engineCount: engines, engineIndex: place })
+const share = (engineCount: number, engineIndex: number): LoadRateShare => ({ loadsPerSecond: 9.3, overage: 1.1, windowMs: 5000, engineCount, engineIndex })
 
 describe('rate limit for loads', () => {
   let time: FakeTime
@@ -10,8 +10,8 @@
   afterEach(() => time.restore())
 
   it('divides the limit among engines so that the sum equals the limit', () => {
-    for (const engines of [1, 2, 7, 13, 35, 400]) {
-      const sum = Array.from({ length: engines }, (_, place) => loadsPerWindow(share(engines, place))).reduce((a, b) => a + b)
+    for (const engineCount of [1, 2, 7, 13, 35, 400]) {
+      const sum = Array.from({ length: engineCount }, (_, engineIndex) => loadsPerWindow(share(engineCount, engineIndex))).reduce((a, b) => a + b)
       expect(sum).to.equal(Math.floor(9.3 * 1.1 * 5) + 3)
     }
   })
--- a/packages/fleet/test/poll-delay.test.ts
+++ b/packages/fleet/test/poll-delay.test.ts
@@ -17,9 +17,9 @@
 
   describe('with an adapter being loaded', () => {
     it('ends when the load is due, and is not shortened by the demand that it meets', () => {
-      const account = { busy: false, coming }
-      expect(nextPollDelayMs(inputWith({ account, demandedKeys: ['m/a'] }, 130))).to.equal(130)
-      expect(nextPollDelayMs(inputWith({ account, demandedKeys: ['m/a'] }, 900))).to.equal(200)
+      const status = { busy: false, coming }
+      expect(nextPollDelayMs(inputWith({ account: status, demandedKeys: ['m/a'] }, 130))).to.equal(130)
+      expect(nextPollDelayMs(inputWith({ account: status, demandedKeys: ['m/a'] }, 900))).to.equal(200)
     })
 
     it('is short for another demand, which waits for a slot', () => {
--- a/packages/fleet/test/prefill-rate.test.ts
+++ b/packages/fleet/test/prefill-rate.test.ts
@@ -39,7 +39,7 @@
       expect(state.unread).to.equal(0)
     })
 
-    it('counts the prompts of other entries, as processed on since the report', async () => {
+    it('counts the prompts of other entries, less what was prefilled since the report', async () => {
       const alone = state.expectedMs(1000, 1, nowMs())
       state.applyReport({ at: nowMs(), reachable: true, held: new Map(), coming: new Set(), waiting: 0, running: 1, unread: 9000 })
       expect(state.expectedMs(1000, 1, nowMs())).to.be.closeTo(alone * 10, 0.001)
--- a/packages/fleet/test/replay/load-simulation.test.ts
+++ b/packages/fleet/test/replay/load-simulation.test.ts
@@ -8,15 +8,15 @@
 
 /** Adapter slots run out. */
 const burst = { ...eightEngines, burst: 2.2 }
-/** Prompts arrive about as fast as engines can process them. */
+/** Prompts arrive about as fast as engines can prefill them. */
 const longPrompts = { ...eightEngines, kinds: [short, { ...long, perSecond: 12 }], burst: 1.4 }
 const seeds = [1, 2, 3, 4]
 
 const meanShareInTime = (pattern: Omit<LoadPattern, 'seed'>, policy: Policy): number =>
   seeds.reduce((sum, seed) => sum + shareInTime(new LoadSimulation({ ...pattern, seed }, policy).run()), 0) / seeds.length
 
-const isLate = ({ elapsedMs, prefillMs: readingMs, objectiveMs }: RankInput): boolean => elapsedMs + readingMs > objectiveMs
-const lateKeepRank: Policy = { ...productionPolicy, rank: urgency => isLate(urgency) ? 0 : productionPolicy.rank(urgency) }
+const isLate = ({ elapsedMs, prefillMs, objectiveMs }: RankInput): boolean => elapsedMs + prefillMs > objectiveMs
+const lateKeepRank: Policy = { ...productionPolicy, rank: input => isLate(input) ? 0 : productionPolicy.rank(input) }
 const arrivalOrder: Policy = { ...productionPolicy, rank: () => 0 }
 
 describe('load simulation', function () {
@@ -39,7 +39,7 @@
 
     before(() => { production = meanShareInTime(burst, productionPolicy) })
 
-    it('meets the objective more often by urgency than in order of arrival', () => {
+    it('meets the objective more often by rank than in order of arrival', () => {
       expect(production).to.be.greaterThan(meanShareInTime(burst, arrivalOrder))
     })
 
@@ -53,7 +53,7 @@
   })
 
   describe('with many long prompts', () => {
-    // Order by urgency gains nothing here beyond the variation between seeds: a share of 0.919 meets the objective with these
+    // Order by rank gains nothing here beyond the variation between seeds: a share of 0.919 meets the objective with these
     // four seeds and 0.913 with six, against 0.929 and 0.909 in order of arrival.
     it('meets the objective more often if late requests yield to others', () => {
       expect(meanShareInTime(longPrompts, productionPolicy)).to.be.greaterThan(meanShareInTime(longPrompts, lateKeepRank))
--- a/packages/fleet/test/replay/load-simulation.ts
+++ b/packages/fleet/test/replay/load-simulation.ts
@@ -1,7 +1,7 @@
 /**
  * Simulation of load: generations on many engines on a virtual clock, with requests routed by the same functions as in an entry.
  *
- * Engines process prompts one at a time in the order of their ranks, hold a few adapters and load others on request; entries see
+ * Engines prefill prompts one at a time in the order of their ranks, hold a few adapters and load others on request; entries see
  * the state of the engines with a delay. The durations are those in the logs of this system. The model is for tests that compare
  * one policy with another under the same load; it has no failures, no domains and no network.
  */
@@ -34,24 +34,24 @@
   kinds: readonly RequestKind[]
   /** Factor on the request rate in the middle third of the run. */
   burst: number
-  /** The first `engines` engines process prompts at `share` of the normal rate. */
+  /** The first `engines` engines prefill prompts at `share` of the normal rate. */
   slow?: { engines: number, share: number }
 }
 
 /** Baseline policy: the holder with the fewest requests or, if there is none, the engine with the fewest. */
-export const leastOutstanding = ({ candidates: options }: EngineSelection): Choice => {
-  const holders = options.filter(option => option.holds)
-  const [least] = (holders.length > 0 ? holders : [...options]).sort((a, b) => a.load - b.load)
+export const leastOutstanding = ({ candidates }: EngineSelection): Choice => {
+  const holders = candidates.filter(candidate => candidate.holds)
+  const [least] = (holders.length > 0 ? holders : [...candidates]).sort((a, b) => a.load - b.load)
   if (least === undefined) return { type: 'none', reason: 'no engine' }
   if (holders.length > 0) return { type: 'send', id: least.id, reason: 'fewest requests', expectedMs: 0 }
-  const coming = options.some(option => option.coming)
+  const coming = candidates.some(candidate => candidate.coming)
   return { type: 'bring', ask: coming ? undefined : least.id, held: false, reason: 'held nowhere' }
 }
 
 /** What is compared: how an entry selects an engine, and the rank of a request, the lowest first. */
 export interface Policy {
   choose: (choice: EngineSelection) => Choice
-  rank: (urgency: RankInput) => number
+  rank: (input: RankInput) => number
 }
 
 /** The policy that entries use. */
@@ -67,7 +67,7 @@
 const tickMs = 5
 /** How long the run goes on after the last arrival, so that all requests are served or refused. */
 const cooldownMs = 6000
-/** Prompt tokens that an engine processes per millisecond, from the data sheets of the deployments. */
+/** Prompt tokens that an engine prefills per millisecond, from the data sheets of the deployments. */
 const tokensPerMs = 38.7
 /** Durations of a load from the weight store and from the engine's own memory, from the logs of side processes. */
 const coldLoadMs = 250
@@ -86,21 +86,21 @@
   kind: RequestKind
   key: string
   tokens: number
-  /** Tokens that are not processed yet. */
+  /** Tokens that are not prefilled yet. */
   unread: number
   arrived: number
   entry: number
   sentAt: number
-  /** Rank when it was sent: an engine is not told of later changes. */
+  /** Rank when it was sent: later changes are not sent to the engine. */
   sentRank: number
 }
 
 interface Engine {
   id: string
   hash: number
-  /** Prompt tokens that it processes per millisecond. */
+  /** Prompt tokens that it prefills per millisecond. */
   prefillRate: number
-  /** Requests whose prompts it has not fully processed, the next ones first. */
+  /** Requests whose prompts it has not fully prefilled, the next ones first. */
   prefilling: SimulatedRequest[]
   running: Array<{ job: SimulatedRequest, endsAt: number }>
   /** Loaded adapters by time of last use; adapters being loaded, by time of completion; copies in memory, the oldest first. */
@@ -195,9 +195,9 @@
     engine.prefilling.sort((a, b) => a.sentRank - b.sentRank || a.sentAt - b.sentAt)
     while (tokens > 0 && engine.prefilling[0] !== undefined) {
       const job = engine.prefilling[0]
-      const read = Math.min(tokens, job.unread)
-      job.unread -= read
-      tokens -= read
+      const prefilled = Math.min(tokens, job.unread)
+      job.unread -= prefilled
+      tokens -= prefilled
       if (job.unread > 0) break
       engine.prefilling.shift()
       engine.running.push({ job, endsAt: this.#now + job.kind.runMs })
--- a/packages/fleet/test/request-queue.test.ts
+++ b/packages/fleet/test/request-queue.test.ts
@@ -7,14 +7,14 @@
 
 describe('queue of waiting requests', () => {
   let time: FakeTime
-  let room: RequestQueue
+  let queue: RequestQueue
   let freeSlots: number
   let loadRequests: Array<[string, number]>
   let order: string[]
 
   beforeEach(() => {
     time = new FakeTime()
-    room = new RequestQueue()
+    queue = new RequestQueue()
     freeSlots = 0
     loadRequests = []
     order = []
@@ -22,7 +22,7 @@
 
   afterEach(() => time.restore())
 
-  const waiter = (key: string, rank = 1, waitMs = 1000): QueuedRequest => ({
+  const queuedRequest = (key: string, rank = 1, waitMs = 1000): QueuedRequest => ({
     key,
     rank: () => rank,
     expiresAt: nowMs() + waitMs,
@@ -34,81 +34,81 @@
   })
 
   const wait = (name: string, each: QueuedRequest, first: Choice = full, cancellation = new Cancellation()): void => {
-    void room.wait(each, first, cancellation).then(end => order.push(`${name} ${end.type}`))
+    void queue.wait(each, first, cancellation).then(outcome => order.push(`${name} ${outcome.type}`))
   }
 
   it('serves by rank, then in order of arrival', async () => {
-    wait('late', waiter('a', 1))
-    wait('urgent', waiter('b', 0))
-    wait('last', waiter('c', 1))
+    wait('late', queuedRequest('a', 1))
+    wait('urgent', queuedRequest('b', 0))
+    wait('last', queuedRequest('c', 1))
     freeSlots = 2
-    room.scheduleScan()
+    queue.scheduleScan()
     await time.pass(50)
     expect(order).to.deep.equal(['urgent chosen', 'late chosen'])
-    expect(room.size).to.equal(1)
+    expect(queue.size).to.equal(1)
   })
 
   it('scans only requests that wait for capacity when capacity becomes free', async () => {
-    wait('place', waiter('a'))
-    wait('adapter', waiter('b'), { type: 'bring', ask: 'e', held: false, reason: 'held nowhere' })
-    wait('either', waiter('c'), { type: 'bring', ask: 'e', held: true, reason: 'its holders are full' })
+    wait('place', queuedRequest('a'))
+    wait('adapter', queuedRequest('b'), { type: 'bring', ask: 'e', held: false, reason: 'held nowhere' })
+    wait('either', queuedRequest('c'), { type: 'bring', ask: 'e', held: true, reason: 'its holders are full' })
     freeSlots = 3
-    room.scheduleCapacityScan()
+    queue.scheduleCapacityScan()
     await time.pass(50)
     expect(order).to.deep.equal(['place chosen', 'either chosen'])
   })
 
   it('requests the load of an adapter with the number of requests that wait for it', async () => {
     const bring: Choice = { type: 'bring', ask: 'e', held: false, reason: 'held nowhere' }
-    wait('one', waiter('a'), bring)
-    wait('two', waiter('a'), bring)
+    wait('one', queuedRequest('a'), bring)
+    wait('two', queuedRequest('a'), bring)
     expect(loadRequests).to.deep.equal([['e', 1], ['e', 2]])
   })
 
   it('ends a wait at once when it is cancelled, and otherwise at its deadline', async () => {
     const cancellation = new Cancellation()
-    wait('left', waiter('a'), full, cancellation)
-    wait('expired', waiter('a', 1, 300))
+    wait('cancelled', queuedRequest('a'), full, cancellation)
+    wait('expired', queuedRequest('a', 1, 300))
     cancellation.cancel()
     await time.pass(10)
-    expect(order).to.deep.equal(['left left'])
+    expect(order).to.deep.equal(['cancelled cancelled'])
     await time.pass(400)
-    expect(order).to.deep.equal(['left left', 'expired expired'])
-    expect(room.size).to.equal(0)
+    expect(order).to.deep.equal(['cancelled cancelled', 'expired expired'])
+    expect(queue.size).to.equal(0)
   })
 
   it('ends the wait of a quarantined request with the next scan', async () => {
-    let hopeless = false
-    wait('bad', { ...waiter('k'), isQuarantined: () => hopeless })
-    wait('good', waiter('k'))
-    hopeless = true
-    room.scheduleScan()
+    let quarantined = false
+    wait('bad', { ...queuedRequest('k'), isQuarantined: () => quarantined })
+    wait('good', queuedRequest('k'))
+    quarantined = true
+    queue.scheduleScan()
     await time.pass(20)
-    expect(order).to.deep.equal(['bad hopeless'])
+    expect(order).to.deep.equal(['bad quarantined'])
   })
 
   describe('for rate-limited servers', () => {
     const limited: Choice = { type: 'limited', readyInMs: 100, everyMs: 200, reason: 'all servers name limits' }
-    const limitedWaiter = (rank: number, maxWaitMs = Infinity): QueuedRequest => ({
-      ...waiter(`key ${rank}`, rank),
+    const limitedRequest = (rank: number, maxWaitMs = Infinity): QueuedRequest => ({
+      ...queuedRequest(`key ${rank}`, rank),
       choose: () => freeSlots-- > 0 ? send : limited,
       mayWaitFor: choice => choice.type !== 'limited' || choice.readyInMs <= maxWaitMs
     })
 
     it('counts the requests of the same service that are ahead', () => {
-      for (const rank of [1, 2, 5]) wait(`rank ${rank}`, limitedWaiter(rank), limited)
-      wait('elsewhere', { ...limitedWaiter(1), service: 'others' }, limited)
-      wait('for a place', waiter('key', 1))
-      expect([0, 2, 9].map(rank => room.limitedAhead('engines', rank))).to.deep.equal([0, 2, 3])
+      for (const rank of [1, 2, 5]) wait(`rank ${rank}`, limitedRequest(rank), limited)
+      wait('elsewhere', { ...limitedRequest(1), service: 'others' }, limited)
+      wait('for a place', queuedRequest('key', 1))
+      expect([0, 2, 9].map(rank => queue.limitedAhead('engines', rank))).to.deep.equal([0, 2, 3])
     })
 
     it('ends the wait of requests whose turn comes too late, from the end of the queue', async () => {
-      for (const rank of [3, 1, 2]) wait(`rank ${rank}`, limitedWaiter(rank, 300), limited)
-      room.scheduleScan()
+      for (const rank of [3, 1, 2]) wait(`rank ${rank}`, limitedRequest(rank, 300), limited)
+      queue.scheduleScan()
       await time.pass(20)
       expect(order).to.deep.equal(['rank 3 expired'])
       freeSlots = 1
-      room.scheduleScan()
+      queue.scheduleScan()
       await time.pass(20)
       expect(order).to.deep.equal(['rank 3 expired', 'rank 1 chosen'])
     })
--- a/packages/fleet/test/request-rank.test.ts
+++ b/packages/fleet/test/request-rank.test.ts
@@ -1,9 +1,9 @@
 import { FirstAttemptEstimator, rankOf } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
-describe('request urgency', () => {
+describe('ranking of requests', () => {
   describe('the rank', () => {
-    const rank = (priority: number, elapsedMs: number, readingMs: number): number => rankOf({ priority, objectiveMs: 800, elapsedMs, prefillMs: readingMs })
+    const rank = (priority: number, elapsedMs: number, prefillMs: number): number => rankOf({ priority, objectiveMs: 800, elapsedMs, prefillMs })
 
     it('orders requests by the route\'s priority, both with ample slack and with little', () => {
       expect(rank(0, 0, 20)).to.be.lessThan(rank(1, 0, 20))
@@ -31,16 +31,16 @@
 
   describe('the time since a caller\'s first attempt', () => {
     const seen = (...remaining: number[]): FirstAttemptEstimator => {
-      const tries = new FirstAttemptEstimator()
-      for (const each of remaining) tries.agoMs('r', each)
-      return tries
+      const estimator = new FirstAttemptEstimator()
+      for (const each of remaining) estimator.agoMs('r', each)
+      return estimator
     }
 
     it('is inferred from the remaining time that other requests of the route state', () => {
-      const tries = seen(5000, 4990, 5000, 5000)
-      expect(tries.agoMs('r', 4995)).to.equal(0)
-      expect(tries.agoMs('r', 3800)).to.equal(1200)
-      expect(tries.agoMs('other', 3800)).to.equal(0)
+      const estimator = seen(5000, 4990, 5000, 5000)
+      expect(estimator.agoMs('r', 4995)).to.equal(0)
+      expect(estimator.agoMs('r', 3800)).to.equal(1200)
+      expect(estimator.agoMs('other', 3800)).to.equal(0)
     })
 
     it('is zero if the remaining times of callers show no common start', () => {
@@ -48,9 +48,9 @@
     })
 
     it('is reset by a first attempt that follows later ones', () => {
-      const tries = seen(3800, 3700, 3800)
-      expect(tries.agoMs('r', 5000)).to.equal(0)
-      expect(tries.agoMs('r', 3800)).to.equal(1200)
+      const estimator = seen(3800, 3700, 3800)
+      expect(estimator.agoMs('r', 5000)).to.equal(0)
+      expect(estimator.agoMs('r', 3800)).to.equal(1200)
     })
   })
 })
--- a/packages/fleet/test/server-backoff.test.ts
+++ b/packages/fleet/test/server-backoff.test.ts
@@ -4,16 +4,16 @@
  * was applied only to the request that it was sent in answer to, so the next request went to the same engine.
  *
  * In the logs: `request.not_run … "status":503,"cause":"full"` for the same engine at the same entry up to ten times a second,
- * each on the first try of another request.
+ * each on the first attempt of another request.
  */
 import { pause } from '@finchpitch/core'
 import { FleetLoad, FleetSystem, type BackendStandIn } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 const backoffMs = 1500
-/** From this long after an answer that asks for backoff */
+/** The backoff binds an entry from this long after the answer that asks for it. */
 const bindingMs = 500
-/** until the backoff ends, at most this many requests of one entry may reach the server. */
+/** From then until the backoff ends, at most this many requests of one entry may reach the server. */
 const maxDuringBackoff = 2
 const requestIntervalMs = 25
 /** Less than a request would wait for capacity. */
