--- a/packages/fleet/test/server-liveness.test.ts
+++ b/packages/fleet/test/server-liveness.test.ts
@@ -5,7 +5,7 @@
 
 const serverAt = (address: string): BackendServer => ({ id: 'i', service: 's', address, domain: 'a', slots: 1, leaving: false, models: [] })
 
-describe('probe whether a server has ended', () => {
+describe('probe whether a server has crashed', () => {
   let listener: Server
   let server: BackendServer
 
@@ -30,13 +30,13 @@
 
   it('probes once for all requests that broke off together, and again later', async () => {
     let probes = 0
-    const ends = new ServerLiveness(async () => {
+    const liveness = new ServerLiveness(async () => {
       probes += 1
       return true
     })
-    expect(await Promise.all([ends.ended(server), ends.ended(server), ends.ended(server)])).to.deep.equal([true, true, true])
+    expect(await Promise.all([liveness.ended(server), liveness.ended(server), liveness.ended(server)])).to.deep.equal([true, true, true])
     expect(probes).to.equal(1)
-    await ends.ended(server)
+    await liveness.ended(server)
     expect(probes).to.equal(2)
   })
 })
--- a/packages/fleet/test/silent-store.test.ts
+++ b/packages/fleet/test/silent-store.test.ts
@@ -90,13 +90,13 @@
   readonly #stop = new AbortController()
 
   constructor () {
-    const turn = new DutySwitch()
-    const outage = new StoreHealth()
+    const duty = new DutySwitch()
+    const storeHealth = new StoreHealth()
     this.store.change('table', 1)
     this.store.change('version', 1)
     for (const kind of kinds) {
-      const restMs = (of: Fact['kind']): number => watchPauseMs(of, 4, 2000)
-      void watchFacts({ source: this.store.source(kind), facts: this.facts, log: quietLog, signal: this.#stop.signal, outage, duty: turn, pauseMs: restMs })
+      const pauseMs = (of: Fact['kind']): number => watchPauseMs(of, 4, 2000)
+      void watchFacts({ source: this.store.source(kind), facts: this.facts, log: quietLog, signal: this.#stop.signal, outage: storeHealth, duty, pauseMs })
     }
   }
 
--- a/packages/fleet/test/subscriber.test.ts
+++ b/packages/fleet/test/subscriber.test.ts
@@ -16,14 +16,14 @@
     host: ownHost, changes: 0, held: new Map(), coming: [], warm: () => [], reachable: true, server: 's', waiting: 0, running: 0, unread: 0, entries: 1, strangers: 0, fence: 1, ...more
   })
 
-  const subscriberOf = (near: boolean): Subscriber => {
+  const subscriberOf = (isLocal: boolean): Subscriber => {
     const frameReader = new FrameReader()
     const channel = {
       send: (frame: Frame) => { sent.push(frame) },
       sendEncoded: (frames: Buffer[]) => { for (const frame of frames) sent.push(...frameReader.read(frame)._unsafeUnwrap()) },
       beat: () => { heartbeats += 1 }
     }
-    return new Subscriber({ channel: channel as never, isLocal: near, engineHost: ownHost })
+    return new Subscriber({ channel: channel as never, isLocal, engineHost: ownHost })
   }
 
   beforeEach(() => {
@@ -66,7 +66,7 @@
       expect(sent).to.have.length(2)
     })
 
-    it('include unprocessed prompt tokens once they differ by enough to matter', async () => {
+    it('include the prompt tokens not prefilled yet once they differ by enough to matter', async () => {
       await time.pass(300)
       subscriber.publish(update({ unread: 1500 }), relayed)
       expect(sent).to.have.length(1)
--- a/packages/fleet/test/subscribers.test.ts
+++ b/packages/fleet/test/subscribers.test.ts
@@ -18,7 +18,7 @@
 
 describe('a side process and its local entries', () => {
   let facts: Facts
-  let readers: Subscribers
+  let subscribers: Subscribers
   let entry: Subscriber
 
   const channel = { peer: { process: ProcessId.parse('entry'), domain: FailureDomain.parse(domain) }, open: true, send: () => true, sendEncoded: () => true, beat: () => {}, close: () => {} } as unknown as Channel
@@ -26,21 +26,21 @@
 
   beforeEach(() => {
     facts = new Facts(quietLog, () => 1000)
-    readers = new Subscribers({ domain, host, facts, engineUpdate, sidePort: 1, channel: channelOptions('side'), dial: async () => { throw new Error('no side process listens') }, log: quietLog })
-    entry = readers.add(channel)
+    subscribers = new Subscribers({ domain, host, facts, engineUpdate, sidePort: 1, channel: channelOptions('side'), dial: async () => { throw new Error('no side process listens') }, log: quietLog })
+    entry = subscribers.add(channel)
   })
 
-  afterEach(() => readers.close())
+  afterEach(() => subscribers.close())
 
   describe('one of which reads the store', () => {
     it('does not adopt the revision in a heartbeat before that entry has sent its facts', () => {
-      readers.handleFrame(heartbeat, entry)
+      subscribers.handleFrame(heartbeat, entry)
       expect(facts.complete).to.deep.equal({ table: 0, server: 0, version: 0 })
     })
 
     it('adopts the revision in a heartbeat once that entry has sent its facts', () => {
-      readers.handleFrame({ type: 'follow', hosts: [host], relay: false }, entry)
-      readers.handleFrame(heartbeat, entry)
+      subscribers.handleFrame({ type: 'follow', hosts: [host], relay: false }, entry)
+      subscribers.handleFrame(heartbeat, entry)
       expect(facts.complete).to.deep.equal(complete)
     })
   })
@@ -67,7 +67,7 @@
         return true
       }
     }) as unknown as Channel
-    const reportSight = (subscriber: Subscriber, sight: StoreSight): void => readers.handleFrame({ type: 'heartbeat', revision: 1, sight } as Frame, subscriber)
+    const reportSight = (subscriber: Subscriber, sight: StoreSight): void => subscribers.handleFrame({ type: 'heartbeat', revision: 1, sight } as Frame, subscriber)
 
     beforeEach(() => {
       time = new FakeTime()
@@ -78,8 +78,8 @@
 
     for (const [peer, peerDomain, relay] of [['a local entry', domain, false], ['a remote side process', 'b', true]] as const) {
       it(`sends facts at once to ${peer} that reports so, including those still held back for it`, async () => {
-        const subscriber = readers.add(peerIn(peerDomain))
-        readers.handleFrame({ type: 'follow', hosts: [host], relay }, subscriber)
+        const subscriber = subscribers.add(peerIn(peerDomain))
+        subscribers.handleFrame({ type: 'follow', hosts: [host], relay }, subscriber)
         reportSight(subscriber, 'reading')
         facts.offer(named(2), 'store')
         await time.pass(sendMs)
@@ -102,7 +102,7 @@
     it('reports so itself, unless another local entry reads the store', () => {
       reportSight(entry, 'blind')
       expect(facts.sight).to.equal('blind')
-      const other = readers.add(peerIn(domain))
+      const other = subscribers.add(peerIn(domain))
       reportSight(other, 'reading')
       expect(facts.sight).to.equal('reading')
     })
--- a/packages/fleet/test/suspension.test.ts
+++ b/packages/fleet/test/suspension.test.ts
@@ -34,31 +34,31 @@
   beforeEach(() => { time = new FakeTime() })
   afterEach(() => time.restore())
 
-  describe('the elapsed clock', () => {
+  describe('the boot-time clock', () => {
     it('includes the suspension, and otherwise runs with the monotonic clock', async () => {
-      const [elapsed, monotonic] = [boottimeMs(), nowMs()]
+      const [boottime, monotonic] = [boottimeMs(), nowMs()]
       await time.pass(100)
       time.suspend(suspendedMs)
       await time.pass(100)
       expect(nowMs() - monotonic).to.equal(200)
-      expect(boottimeMs() - elapsed).to.equal(200 + suspendedMs)
+      expect(boottimeMs() - boottime).to.equal(200 + suspendedMs)
     })
 
-    it('does not go back when the time of day is set back', async () => {
-      const elapsed = boottimeMs()
+    it('does not go back when the wall clock is set back', async () => {
+      const boottime = boottimeMs()
       time.suspend(-suspendedMs)
       await time.pass(100)
-      expect(boottimeMs() - elapsed).to.equal(100)
+      expect(boottimeMs() - boottime).to.equal(100)
     })
 
-    it('does not accumulate small corrections of the time of day', async () => {
-      const elapsed = boottimeMs()
+    it('does not accumulate small corrections of the wall clock', async () => {
+      const boottime = boottimeMs()
       for (let each = 0; each < 100; each++) {
         time.suspend(5)
         await time.pass(1000)
         boottimeMs()
       }
-      expect(boottimeMs() - elapsed).to.equal(100_000)
+      expect(boottimeMs() - boottime).to.equal(100_000)
     })
   })
 
@@ -97,7 +97,7 @@
   })
 
   describe('quota tokens', () => {
-    const life = tokenLifetimeMs(rate, quotaBoundOf(limits))
+    const lifetimeMs = tokenLifetimeMs(rate, quotaBoundOf(limits))
     let quotas: Quotas
 
     const canReserve = async (tokens: number): Promise<boolean> => typeof await quotas.reserve(team, `${tokens},0`) !== 'number'
@@ -108,7 +108,7 @@
     })
 
     it('that were earned before the suspension have expired, and none are earned during it', async () => {
-      await time.pass(life)
+      await time.pass(lifetimeMs)
       time.suspend(suspendedMs)
       expect(await canReserve(1)).to.equal(false)
       await time.pass(1000)
@@ -125,10 +125,10 @@
     it('that a side process pools have expired on wake-up', async () => {
       const bank = new QuotaBank()
       const giveFrame = (gives: FrameOf<'quota'>['gives'], stamp: number, heldMs = 0): FrameOf<'quota'> => ({ type: 'quota', stamp: 1, echo: { stamp, heldMs }, gives, wants: [] })
-      const first = bank.exchange('e', { type: 'quota', stamp: 1, gives: [], wants: [] }, () => life)
-      bank.exchange('e', giveFrame([['red', 5000, 0]], first.bankStamp), () => life)
+      const first = bank.exchange('e', { type: 'quota', stamp: 1, gives: [], wants: [] }, () => lifetimeMs)
+      bank.exchange('e', giveFrame([['red', 5000, 0]], first.bankStamp), () => lifetimeMs)
       time.suspend(suspendedMs)
-      const grant = bank.exchange('f', { type: 'quota', stamp: 1, gives: [], wants: [['red', 1000]] }, () => life)
+      const grant = bank.exchange('f', { type: 'quota', stamp: 1, gives: [], wants: [['red', 1000]] }, () => lifetimeMs)
       expect(grant.grants).to.deep.equal([])
     })
 
