--- a/packages/fleet/src/entry/crashes.ts
+++ b/packages/fleet/src/entry/crashes.ts
@@ -1,8 +1,9 @@
 /**
- * Requests under which servers ended, as this entry knows them: what its own tries met and what others tell.
+ * Tracks which requests crash servers, from the failed attempts of this entry and from the reports of other entries.
  *
- * A request that ended two servers one after the other is sent to none. Every entry has to know that before the caller comes
- * again, so ends go round within some ms; an entry out of touch holds what it knows.
+ * A request that has crashed two servers in a row is quarantined: it is sent to no server. All entries have to know of the
+ * crashes before the caller retries, so they are shared within a few ms. An entry that loses contact with the others keeps what
+ * it knows.
  */
 import type { Log, RequestFingerprint } from '@finchpitch/core'
 import { CrashHistory, quarantineLimits, type Quarantine } from '@finchpitch/decisions'
@@ -17,19 +18,19 @@
 import type { ServerLiveness } from './server-liveness.js'
 
 /**
- * A server that ends is back, listed as another one, within some seconds. One whose address accepted after the break, since
- * something stands before it or it was back at once, is known by that to have ended.
+ * A crashed server is replaced, and listed with another id or start time, within a few seconds. This reveals crashes of servers
+ * whose address still accepted connections after the attempt failed, because of a proxy in front of it or a fast restart.
  */
-const replacedMs = 10_000
-/** Breaks of which it isn't known yet; a server that resets all its connections brings a batch at a time. */
-const mostUnproved = 500
+const replacementMs = 10_000
+/** Maximum number of failed attempts that may still turn out to be crashes. A server that resets its connections adds a batch at once. */
+const maxUnconfirmed = 500
 
-/** A try that broke off at its server. */
+/** An attempt that failed while its server was running the request. */
 export interface BrokenTry {
   request: string
   fingerprint: RequestFingerprint
   server: BackendServer
-  /** When it was sent, on the steady clock. */
+  /** When it was sent, on the monotonic clock. */
   sentAt: number
 }
 
@@ -37,130 +38,133 @@
   facts: Facts
   ends: ServerLiveness
   exchange: Pick<TryNewsExchange, 'tell'>
-  /** Asks whether this entry may run a request whose quarantine has lapsed. */
+  /** Asks a side process for permission to run a request whose quarantine has expired. */
   askProbe: (fingerprint: RequestFingerprint) => Promise<boolean>
-  /** A request is quarantined from now on, so those that wait look again. */
+  /** Called when a request becomes quarantined, as copies of it may be waiting in the queue. */
   quarantined: () => void
   counters: EntryCounters
   log: Log
 }
 
-/** A try that broke off, and when. */
-interface Break extends BrokenTry {
+interface TimedFailure extends BrokenTry {
   endedAt: number
 }
 
 export class Crashes {
-  readonly #ledger = new CrashHistory(quarantineLimits)
-  /** Whose servers have not shown to have ended; the oldest first. */
-  #unproved: Break[] = []
+  readonly #history = new CrashHistory(quarantineLimits)
+  /** Failed attempts whose servers are not known to have crashed, the oldest first. */
+  #unconfirmed: TimedFailure[] = []
 
   constructor (private readonly options: CrashesOptions) {
-    options.facts.onChange(fact => { if (fact.kind === 'server' && fact.value !== undefined) this.#replaced(fact.value) })
+    options.facts.onChange(fact => { if (fact.kind === 'server' && fact.value !== undefined) this.#checkReplaced(fact.value) })
   }
 
-  /** Nothing is held against any request, so no fingerprint need be made. */
+  /** Whether no request has a record, so that fingerprints need not be computed. */
   get none (): boolean {
-    return this.#ledger.size === 0
+    return this.#history.size === 0
   }
 
-  /** Why the request is not to be sent now. */
+  /** `undefined` if the request isn't quarantined. */
   quarantine (fingerprint: RequestFingerprint): Quarantine | undefined {
-    return this.#ledger.quarantine(fingerprint, nowMs())
+    return this.#history.quarantine(fingerprint, nowMs())
   }
 
-  /** Its quarantine has lapsed: it may be sent once, by one entry of all. */
+  /** Whether its quarantine has expired, so that one entry of all may send it once, as a probe. */
   probeDue (fingerprint: RequestFingerprint): boolean {
-    return this.#ledger.probeDue(fingerprint, nowMs())
+    return this.#history.probeDue(fingerprint, nowMs())
   }
 
-  /** Says whether this entry may send it, once, to see whether it still ends its server. */
+  /** Asks for permission to send the request once, as a probe of whether it still crashes its server. Returns whether it was granted. */
   async probe (fingerprint: RequestFingerprint, request: string): Promise<boolean> {
-    const { askProbe, exchange, log } = this.options
-    const granted = await askProbe(fingerprint)
+    const { askProbe: requestProbe, exchange: reporter, log } = this.options
+    const granted = await requestProbe(fingerprint)
     log.info('request.probe', { request, fingerprint, granted })
     if (!granted) return false
     const probe = { fingerprint, at: nowMs() }
-    this.#ledger.recordProbe(probe, nowMs())
-    exchange.tell({ ...noReports, probes: [probe] })
+    this.#history.recordProbe(probe, nowMs())
+    reporter.tell({ ...noReports, probes: [probe] })
     return true
   }
 
-  /** Finds out whether the server ended under it. One that was leaving, or had left the list, ended for another reason. */
-  async brokeOff (broken: BrokenTry): Promise<void> {
-    const { facts, ends, log } = this.options
-    const { request, fingerprint, server, sentAt } = broken
+  /**
+   * Records a failed attempt, and checks whether its server crashed. A server that was draining, or is no longer listed, is
+   * expected to stop and is not counted.
+   */
+  async brokeOff (failure: BrokenTry): Promise<void> {
+    const { facts, ends: liveness, log } = this.options
+    const { request, fingerprint, server, sentAt } = failure
     const endedAt = nowMs()
     const expected = facts.servers.get(server.id)?.leaving !== false
-    const ended = !expected && await ends.ended(server)
+    const ended = !expected && await liveness.ended(server)
     log.info('request.broke_off', { request, fingerprint, server: server.id, ranMs: Math.round(endedAt - sentAt), expected, ended })
-    if (ended) this.#ended([{ ...broken, endedAt }])
-    else if (!expected) this.#unproved = [...this.#unproved, { ...broken, endedAt }].slice(-mostUnproved)
+    if (ended) this.#recordOwnCrashes([{ ...failure, endedAt }])
+    else if (!expected) this.#unconfirmed = [...this.#unconfirmed, { ...failure, endedAt }].slice(-maxUnconfirmed)
   }
 
-  /** Another server, or another life of the same one, is at the address. */
-  #replaced (by: BackendServer): void {
-    if (this.#unproved.length === 0) return
+  /** Counts the failed attempts at the address of a newly listed server, or of a new incarnation, as crashes of its predecessor. */
+  #checkReplaced (by: BackendServer): void {
+    if (this.#unconfirmed.length === 0) return
     const now = nowMs()
-    const recent = this.#unproved.filter(each => now - each.endedAt < replacedMs)
-    const ended = recent.filter(({ server }) => server.address === by.address && (server.id !== by.id || isEarlierIncarnation(server.bornAt, by.bornAt)))
-    this.#unproved = recent.filter(each => !ended.includes(each))
-    if (ended.length === 0) return
-    this.options.log.info('server.replaced', { by: by.id, brokeOff: ended.map(each => each.fingerprint), agoMs: Math.round(now - (ended[0]?.endedAt ?? now)) })
-    this.#ended(ended)
+    const recent = this.#unconfirmed.filter(each => now - each.endedAt < replacementMs)
+    const crashed = recent.filter(({ server }) => server.address === by.address && (server.id !== by.id || isEarlierIncarnation(server.bornAt, by.bornAt)))
+    this.#unconfirmed = recent.filter(each => !crashed.includes(each))
+    if (crashed.length === 0) return
+    this.options.log.info('server.replaced', { by: by.id, brokeOff: crashed.map(each => each.fingerprint), agoMs: Math.round(now - (crashed[0]?.endedAt ?? now)) })
+    this.#recordOwnCrashes(crashed)
   }
 
-  /** Servers ended under these tries. */
-  #ended (tries: readonly Break[]): void {
-    const { exchange, counters } = this.options
+  /** Records that the servers of these attempts crashed, and reports it to the other entries. */
+  #recordOwnCrashes (attempts: readonly TimedFailure[]): void {
+    const { exchange: reporter, counters } = this.options
     const now = nowMs()
-    counters.serverCrashes.inc(tries.length)
-    const crashes = tries.map(({ fingerprint, server, sentAt, endedAt }) => ({ fingerprint, server: incarnationOf(server), sentAt, endedAt }))
-    const news = { crashes: crashes.filter(crash => this.#ledger.recordCrash(crash, now)), sound: [], limits: [], probes: [] }
-    exchange.tell(news)
-    this.#note(news, 'own try')
+    counters.serverCrashes.inc(attempts.length)
+    const crashes = attempts.map(({ fingerprint, server, sentAt, endedAt }) => ({ fingerprint, server: incarnationOf(server), sentAt, endedAt }))
+    const reports = { crashes: crashes.filter(crash => this.#history.recordCrash(crash, now)), sound: [], limits: [], probes: [] }
+    reporter.tell(reports)
+    this.#announceQuarantines(reports, 'own try')
   }
 
-  /** A run of the request came to its end. */
+  /** Records that a run of the request completed, which discards its earlier crashes. */
   endedWell (fingerprint: RequestFingerprint): void {
     const run = { fingerprint, endedAt: nowMs() }
-    const held = this.quarantine(fingerprint) !== undefined
-    if (!this.#ledger.sound(run)) return
-    if (held) this.#released([fingerprint], 'own try')
+    const quarantined = this.quarantine(fingerprint) !== undefined
+    if (!this.#history.sound(run)) return
+    if (quarantined) this.#logReleased([fingerprint], 'own try')
     this.options.exchange.tell({ crashes: [], sound: [run], limits: [], probes: [] })
   }
 
-  /** What a side process passes on. */
+  /** Records the reports of other entries that a side process relays. */
   take (frame: FrameOf<'crashes'>, from: string): void {
-    const held = frame.sound.map(([fingerprint]) => fingerprint).filter(fingerprint => this.quarantine(fingerprint) !== undefined)
-    this.#note(recordCrashes(this.#ledger, frame), from)
-    this.#released(held, from)
+    const quarantined = frame.sound.map(([fingerprint]) => fingerprint).filter(fingerprint => this.quarantine(fingerprint) !== undefined)
+    this.#announceQuarantines(recordCrashes(this.#history, frame), from)
+    this.#logReleased(quarantined, from)
   }
 
-  /** Called now and then, so that fingerprints are made no longer than needed. */
+  /** Called periodically. Once all records have expired, fingerprints are no longer computed. */
   expire (): void {
-    this.#ledger.expire(nowMs())
+    this.#history.expire(nowMs())
   }
 
-  /** All that is known, to a side process that was joined: it may have started anew. */
+  /** Sends everything known to a side process that has connected, since it may have restarted. */
   greet (side: Channel): void {
-    sendKnownCrashes(this.#ledger, side)
+    sendKnownCrashes(this.#history, side)
   }
 
-  #note ({ crashes }: Pick<AttemptReports, 'crashes'>, from: string): void {
-    const { counters, log, quarantined } = this.options
+  /** Logs and counts the requests that these crashes quarantine, and triggers a scan of the queue. */
+  #announceQuarantines ({ crashes }: Pick<AttemptReports, 'crashes'>, from: string): void {
+    const { counters, log, quarantined: onQuarantine } = this.options
     let any = false
     for (const fingerprint of new Set(crashes.map(crash => crash.fingerprint))) {
-      const held = this.quarantine(fingerprint)
-      if (held === undefined) continue
+      const quarantine = this.quarantine(fingerprint)
+      if (quarantine === undefined) continue
       any = true
       counters.quarantines.inc()
-      log.warn('request.quarantined', { fingerprint, servers: held.servers, forMs: Math.round(held.leftMs), from })
+      log.warn('request.quarantined', { fingerprint, servers: quarantine.servers, forMs: Math.round(quarantine.leftMs), from })
     }
-    if (any) quarantined()
+    if (any) onQuarantine()
   }
 
-  #released (fingerprints: readonly RequestFingerprint[], from: string): void {
+  #logReleased (fingerprints: readonly RequestFingerprint[], from: string): void {
     for (const fingerprint of fingerprints) if (this.quarantine(fingerprint) === undefined) this.options.log.info('request.released', { fingerprint, from })
   }
 }
--- a/packages/fleet/src/entry/earned-tokens.ts
+++ b/packages/fleet/src/entry/earned-tokens.ts
@@ -1,45 +1,48 @@
 /**
- * Tokens that one entry earns as its share of a rate that all entries have together, and those that others passed on to it.
+ * The tokens of one rate limit that this entry may spend: those that it earns as its share of the limit, and those that other
+ * entries transferred to it.
  *
- * Each entry earns an equal share, by the most entries that may exist. A token is earned once, moves with its age and lapses, so
- * nothing has to be agreed on: a lost message loses tokens, and an entry out of touch still has its share.
+ * All entries together have the limit, and each earns an equal share of it, divided by an upper bound of the number of entries.
+ * Entries need no agreement, since each token is earned once, is transferred with its age, and expires. A lost message only
+ * loses tokens, and an entry without contact to the others still has its share.
  */
 import { ExpiringTokens, earnedPerSecond, tokenLifetimeMs, type QuotaBound, type QuotaRate, type TokenSlice } from '@finchpitch/decisions'
 import { boottimeMs, suspendedMs } from '../clock.js'
 
-/** Earned tokens are dated in steps, each as old as its start. */
+/** Tokens are earned in steps of this length, and dated at the start of the step. */
 const earnStepMs = 100
 
 export class EarnedTokens {
   readonly #stock = new ExpiringTokens()
   #rate: QuotaRate
   #earnedAt = boottimeMs()
-  #sleptMs = suspendedMs()
+  /** Total time that the machine was suspended, as last read. */
+  #lastSuspendedMs = suspendedMs()
 
-  /** `entries`: the most that may exist. */
+  /** `entries`: an upper bound of the number of entries. */
   constructor (rate: QuotaRate, private readonly bound: () => QuotaBound, private readonly entries: () => number) {
     this.#rate = rate
   }
 
-  /** What was earned before lapses soon. */
+  /** Tokens earned at the previous rate stay valid until they expire. */
   setRate (rate: QuotaRate): void {
     if (rate === this.#rate) return
     this.earn()
     this.#rate = rate
   }
 
-  /** What can be spent now. */
+  /** Tokens that may be spent now, without those earned since the last call of `earn`. */
   get total (): number {
     return this.#stock.total(this.since)
   }
 
-  /** So many; none where there are fewer. */
+  /** Takes exactly `tokens`, or none if there are fewer. */
   take (tokens: number): TokenSlice[] | undefined {
     this.earn()
     return this.#stock.take(tokens, this.since)
   }
 
-  /** So many or what there is, the oldest first. */
+  /** Takes `tokens`, or as many as there are, the oldest first. */
   takeUpTo (tokens: number): TokenSlice[] {
     return this.#stock.takeUpTo(tokens, this.since)
   }
@@ -48,24 +51,25 @@
     this.#stock.addAll(slices)
   }
 
-  /** Tokens a second that this entry earns. */
+  /** Tokens per second that this entry earns. */
   get ownRate (): number {
     return earnedPerSecond(this.#rate, this.bound()) / this.entries()
   }
 
-  /** How long a token may be spent. */
+  /** How long a token may be spent after it was earned. */
   get lifeMs (): number {
     return tokenLifetimeMs(this.#rate, this.bound())
   }
 
-  /** Tokens that were earned earlier have lapsed. */
+  /** Tokens earned before this time have expired. */
   get since (): number {
     return boottimeMs() - this.lifeMs
   }
 
+  /** Adds the tokens earned since the last call. */
   earn (): void {
     const now = boottimeMs()
-    this.#skipSleep(now)
+    this.#skipSuspension(now)
     const perMs = this.ownRate / 1000
     let from = Math.max(this.#earnedAt, this.since)
     while (from < now) {
@@ -76,10 +80,13 @@
     this.#earnedAt = now
   }
 
-  /** A time of day that was set ahead looks like a sleep of the machine, and would earn the same tokens twice. */
-  #skipSleep (now: number): void {
-    const slept = suspendedMs()
-    if (slept > this.#sleptMs) this.#earnedAt = now
-    this.#sleptMs = slept
+  /**
+   * Earns nothing for the time that the machine was suspended. A wall clock that is set forward can't be told from a
+   * suspension, and would earn the same tokens twice.
+   */
+  #skipSuspension (now: number): void {
+    const suspended = suspendedMs()
+    if (suspended > this.#lastSuspendedMs) this.#earnedAt = now
+    this.#lastSuspendedMs = suspended
   }
 }
--- a/packages/fleet/src/entry/entry-ceiling.ts
+++ b/packages/fleet/src/entry/entry-ceiling.ts
@@ -1,38 +1,40 @@
 /**
- * The most entries that may exist, by which each entry divides what belongs to all of them.
+ * An upper bound of the number of entries, by which each entry divides limits that all of them share.
  *
- * Too many cost a team a little of its quota, too few break the quota. So a fall of the count is believed late, and until
- * side processes have counted entries that start together, more are assumed than any deployment seen has: 26 to 68 entries
- * with 33 to 54 engines, 1.3 for each at most.
+ * If the bound is too high, a team gets a little less than its quota. If it is too low, all entries together exceed the quota.
+ * A lower count is therefore adopted late, and until side processes have counted the entries after a start, the bound is set
+ * higher than the count in any deployment seen: those have 26 to 68 entries with 33 to 54 engines, at most 1.3 entries per
+ * engine.
  */
 import { nowMs } from '../clock.js'
 
-/** Side processes that were cut off from some entries, or restarted, count too few for as long. */
-const holdMs = 15_000
-/** All entries of a domain have joined its side processes this long after a start; it takes some 0.5 s where all start at once. */
-const settleMs = 1500
-const assumedPerServer = 1.5
-/** Assumed while there is nothing to go by. */
-const assumedEntries = 12
+/** Side processes that restarted or lost connections to entries report too low a count for up to this long. */
+const windowMs = 15_000
+/** After a start, all entries of a domain have connected to its side processes by then; if all start at once, it takes about 0.5 s. */
+const warmupMs = 1500
+const assumedEntriesPerServer = 1.5
+/** Minimum of the bound until the warm-up is over and a count is known. */
+const minAssumedEntries = 12
 
 export class EntryCeiling {
   readonly #startedAt = nowMs()
-  #most = 0
-  #mostBefore = 0
-  #since = nowMs()
+  /** Highest counts of the current and the previous window. */
+  #max = 0
+  #previousMax = 0
+  #windowStart = nowMs()
 
-  /** `counted`: entries by what side processes tell now; `servers`: backend servers that are known. */
+  /** Updates and returns the bound. `counted`: current count from side processes; `servers`: number of known backend servers. */
   of (counted: number | undefined, servers: number): number {
     const now = nowMs()
-    if (now - this.#since > holdMs) {
-      this.#mostBefore = this.#most
-      this.#most = 0
-      this.#since = now
+    if (now - this.#windowStart > windowMs) {
+      this.#previousMax = this.#max
+      this.#max = 0
+      this.#windowStart = now
     }
-    this.#most = Math.max(this.#most, counted ?? 0)
-    const settled = now - this.#startedAt > settleMs
-    const known = Math.max(this.#most, this.#mostBefore)
-    const floor = settled && known > 0 ? 1 : Math.max(assumedEntries, servers * assumedPerServer)
+    this.#max = Math.max(this.#max, counted ?? 0)
+    const warmedUp = now - this.#startedAt > warmupMs
+    const known = Math.max(this.#max, this.#previousMax)
+    const floor = warmedUp && known > 0 ? 1 : Math.max(minAssumedEntries, servers * assumedEntriesPerServer)
     return Math.max(known, floor)
   }
 }
--- a/packages/fleet/src/entry/entry-count.ts
+++ b/packages/fleet/src/entry/entry-count.ts
@@ -1,31 +1,32 @@
 /**
- * How many entries there are, by what side processes tell of each failure domain: plain functions.
+ * Counts the entries of the fleet from what side processes report of each failure domain. Pure functions.
  *
- * The number divides the fixed part of the retry budget, so it is rather too high than too low: right after a start only
- * one's own domain has told, and a fifth of all entries would each take five times their part.
+ * The fixed part of the retry budget is divided by this number, so it errs on the high side. Right after a start, only side
+ * processes of the entry's own domain have reported: if the other four of five domains counted as empty, each entry would take
+ * five times its share.
  */
 import { watcherCount } from '../side/watchers.js'
 
 export interface DomainEntries {
   domain: string
-  /** Entries of the domain; `undefined` while no side process there has told. */
+  /** Entries of the domain; `undefined` until this engine's side process has reported. */
   entries: number | undefined
-  /** Entries elsewhere that follow engines of the domain directly. */
+  /** Entries of other domains that are subscribed to side processes of this domain directly. */
   strangers: number
 }
 
-/** One row for each engine. `undefined` while none has told. */
-export const countEntries = (told: readonly DomainEntries[]): number | undefined => sumOfDomains(told, entries => entries)
+/** Takes one report per engine. Returns `undefined` until a side process has reported. */
+export const countEntries = (reports: readonly DomainEntries[]): number | undefined => sumOverDomains(reports, entries => entries)
 
-/** How many of them watch the store. */
-export const countWatchers = (told: readonly DomainEntries[]): number | undefined => sumOfDomains(told, watcherCount)
+/** Counts the entries that watch the store. */
+export const countWatchers = (reports: readonly DomainEntries[]): number | undefined => sumOverDomains(reports, watcherCount)
 
-/** A domain that has not told counts as the largest that has. */
-const sumOfDomains = (told: readonly DomainEntries[], part: (entries: number) => number): number | undefined => {
+/** A domain without a report counts as large as the largest one that has reported. */
+const sumOverDomains = (reports: readonly DomainEntries[], part: (entries: number) => number): number | undefined => {
   const byDomain = new Map<string, number>()
-  for (const { domain, entries } of told) byDomain.set(domain, Math.max(byDomain.get(domain) ?? -1, entries ?? -1))
+  for (const { domain, entries } of reports) byDomain.set(domain, Math.max(byDomain.get(domain) ?? -1, entries ?? -1))
   const largest = Math.max(-1, ...byDomain.values())
   if (largest < 0) return undefined
-  const strangers = Math.max(...told.map(each => each.strangers))
+  const strangers = Math.max(...reports.map(each => each.strangers))
   return [...byDomain.values()].reduce((sum, entries) => sum + part(entries < 0 ? largest : entries), strangers)
 }
--- a/packages/fleet/src/entry/limit-account.ts
+++ b/packages/fleet/src/entry/limit-account.ts
@@ -1,117 +1,122 @@
 /**
- * What this entry may still send to one server that names how many requests a second it takes from all entries together.
+ * What this entry may send to one rate-limited server: one that advertises how many requests per second it accepts from all
+ * entries together.
  *
- * Load pattern: a server that took 15 requests a second from three entries takes one. Small figures rule: at 1.3 a second the
- * share of one of 26 entries is one request in 20 s, and tokens lapse within 4 s, or all entries could save up for one moment. So
- * whatever is not wanted here goes to the others at once, and what comes back are whole requests.
+ * Limits are typically low. A server that took 15 requests per second from three entries advertises one per second. With 26
+ * entries and 1.3 requests per second, an entry's share is one request in 20 s, but tokens expire within 4 s, as all entries
+ * could otherwise save them up and send at the same moment. An entry therefore gives away at once what it doesn't need, and
+ * other entries' tokens are granted to it as whole requests.
  */
 import { DecayingSum, type QuotaBound, type TokenSlice } from '@finchpitch/decisions'
 import { boottimeMs } from '../clock.js'
 import { EarnedTokens } from './earned-tokens.js'
 
-/** What a server may get: in any such time one and a half times what its limit allows, and 5 requests. */
+/** In any window of this length, a server may get one and a half times the requests that its limit allows, plus 5. */
 const limitBound: QuotaBound = { windowMs: 4000, overage: 0.5, slack: 5 }
-/** Over which demand is averaged. */
+/** Half-life of the average of the demand. */
 const demandHalfLifeMs = 500
-/** Requests of so long a time are kept at hand, a little more than from one exchange to the next. */
-const keptMs = 300
-/** What a sum of parts may lack of a whole request by rounding. */
-const rounding = 1e-6
-/** Requests that others have at hand are here within so long. */
-const exchangedMs = 50
-/** Where others had too few, they are not asked again at once by each request. */
-const shortMs = 60
-/** When a refused caller should come back, whatever the sums say. */
-const retrySpan = { leastMs: 100, mostMs: 5000 }
+/** Tokens for the demand of this time are kept in reserve. It is slightly longer than the interval between exchanges. */
+const reserveMs = 300
+/** Tolerance for rounding errors when fractions add up to a whole request. */
+const roundingTolerance = 1e-6
+/** Spare tokens of other entries arrive within this time. */
+const exchangeMs = 50
+/** After an exchange that brought too few tokens, further requests trigger no other exchange for this long. */
+const shortageMs = 60
+/** Bounds of the time after which a rejected caller is told to retry. */
+const retryRange = { minMs: 100, maxMs: 5000 }
 
 export class LimitAccount {
   readonly #tokens: EarnedTokens
   readonly #demand = new DecayingSum(demandHalfLifeMs)
   readonly #granted = new DecayingSum(demandHalfLifeMs)
-  /** When others last had fewer than were asked for; `undefined` where they have had enough since. */
-  #shortAt: number | undefined
-  /** Requests that wait for the next exchange. */
-  #asking = 0
+  /** When the other entries granted fewer requests than were asked for; `undefined` once they have granted enough. */
+  #shortageAt: number | undefined
+  /** Number of requests that wait for the next exchange. */
+  #waiting = 0
 
-  /** `entries`: the most that may exist. */
+  /** `entries`: an upper bound of the number of entries. */
   constructor (private readonly limit: number, entries: () => number) {
     this.#tokens = new EarnedTokens({ perSecond: limit, burst: 0 }, () => limitBound, entries)
   }
 
-  /** A request would go there. */
+  /** Counts a request that selected the server. */
   demand (): void {
     this.#demand.add(1, boottimeMs())
   }
 
-  /** Whole requests that may be sent now. */
+  /** Number of requests that may be sent now. */
   get ready (): number {
     this.#tokens.earn()
-    return Math.floor(this.#tokens.total + rounding)
+    return Math.floor(this.#tokens.total + roundingTolerance)
   }
 
-  /** Whether it is of use to ask others now. */
+  /** Whether other entries may have tokens to spare, so that an exchange makes sense now. */
   get askable (): boolean {
-    return this.#shortAt === undefined || boottimeMs() - this.#shortAt >= shortMs
+    return this.#shortageAt === undefined || boottimeMs() - this.#shortageAt >= shortageMs
   }
 
-  /** One request waits for `exchanged`, which it is counted in. */
-  async asking (exchanged: () => Promise<unknown>): Promise<void> {
-    this.#asking += 1
-    await exchanged()
-    this.#asking -= 1
+  /** Counts a request as waiting while the exchange runs, so that the exchange asks for its token. */
+  async asking (exchange: () => Promise<unknown>): Promise<void> {
+    this.#waiting += 1
+    await exchange()
+    this.#waiting -= 1
   }
 
-  /** One request is being sent; `undefined` where it may not be. */
+  /** Takes the token for one request; `undefined` if there is none. */
   take (): TokenSlice[] | undefined {
-    return this.#tokens.take(1 - rounding)
+    return this.#tokens.take(1 - roundingTolerance)
   }
 
-  /** It was not sent. */
+  /** Adds tokens that were granted, or that belong to a request that was not sent. */
   give (slices: readonly TokenSlice[]): void {
     this.#tokens.give(slices)
   }
 
-  /** How many whole requests it lacks, `waiting` of which wait for any server of the service. */
-  wants (waiting: number): number {
-    return Math.max(0, this.#wanted(waiting) - this.ready)
+  /** How many requests this entry is short of. `queued`: requests in the queue that count towards this server. */
+  wants (queued: number): number {
+    return Math.max(0, this.#target(queued) - this.ready)
   }
 
-  /** What is not wanted here, and parts of a request. */
-  takeSurplus (waiting: number): TokenSlice[] {
-    const kept = Math.min(this.ready, this.#wanted(waiting))
-    return this.#tokens.takeUpTo(Math.max(0, this.#tokens.total - kept))
+  /** Takes the tokens that aren't needed here, including fractions of a request. */
+  takeSurplus (queued: number): TokenSlice[] {
+    const reserve = Math.min(this.ready, this.#target(queued))
+    return this.#tokens.takeUpTo(Math.max(0, this.#tokens.total - reserve))
   }
 
-  /** Others gave `slices` of the `asked` whole requests. */
+  /** Adds what other entries granted of the `asked` requests. */
   granted (slices: readonly TokenSlice[], asked: number): void {
     this.give(slices)
     const now = boottimeMs()
-    const came = slices.reduce((sum, { tokens }) => sum + tokens, 0)
-    this.#granted.add(came, now)
-    this.#shortAt = came + rounding < asked ? now : undefined
+    const received = slices.reduce((sum, { tokens }) => sum + tokens, 0)
+    this.#granted.add(received, now)
+    this.#shortageAt = received + roundingTolerance < asked ? now : undefined
   }
 
-  /** Until one more request may be sent, by what came of late. */
+  /** Estimated time until one more request may be sent, from the recent grants. */
   get readyInMs (): number {
     if (this.ready > 0) return 0
-    if (this.#shortAt === undefined) return exchangedMs
-    return Math.min(retrySpan.mostMs, Math.max(retrySpan.leastMs, 1000 / this.perSecond))
+    if (this.#shortageAt === undefined) return exchangeMs
+    return Math.min(retryRange.maxMs, Math.max(retryRange.minMs, 1000 / this.perSecond))
   }
 
-  /** Requests a second that this entry may send: all that the limit allows while the others have some to spare. */
+  /** Requests per second that this entry may send: the whole limit, while the other entries have tokens to spare. */
   get perSecond (): number {
-    return this.#shortAt === undefined ? this.limit : this.#tokens.ownRate + rateOf(this.#granted)
+    return this.#shortageAt === undefined ? this.limit : this.#tokens.ownRate + rateOf(this.#granted)
   }
 
   get lifeMs (): number {
     return this.#tokens.lifeMs
   }
 
-  /** Where requests come seldom, none is kept for the next one: it would lapse, and others lack it meanwhile. */
-  #wanted (waiting: number): number {
-    return this.#asking + waiting + Math.floor(rateOf(this.#demand) * keptMs / 1000)
+  /**
+   * How many requests this entry wants tokens for. At a low demand this keeps none in reserve for the next request: the token
+   * would expire, and other entries may need it.
+   */
+  #target (queued: number): number {
+    return this.#waiting + queued + Math.floor(rateOf(this.#demand) * reserveMs / 1000)
   }
 }
 
-/** Requests a second. */
+/** Requests per second. */
 const rateOf = (sum: DecayingSum): number => sum.at(boottimeMs()) * Math.LN2 / demandHalfLifeMs * 1000
--- a/packages/fleet/src/entry/meeting-place.ts
+++ b/packages/fleet/src/entry/meeting-place.ts
@@ -1,38 +1,39 @@
 /**
- * The side process through which entries meet for one matter: the same for all by rendezvous hashing, without any agreement.
+ * Chooses the side process that coordinates all entries for one purpose. By rendezvous hashing, all entries choose the same one
+ * without communicating.
  *
- * One that does not answer is passed by for a while. Where entries differ for a moment, they meet at two, and no promise depends
- * on it.
+ * A host that doesn't answer is skipped for a while. Entries may then disagree for a moment and use two hosts, so correctness
+ * must not depend on there being only one.
  */
 import { rendezvousScore, hashOf } from '@finchpitch/decisions'
 import { minBy } from '../min-by.js'
 
 export interface MeetingPlaceOptions {
-  /** What they meet for; another matter has another place. */
+  /** Seed of the hash, so that different purposes are spread over different hosts. */
   matter: string
-  /** How long one that did not answer is passed by. */
+  /** How long a host that didn't answer is skipped. */
   passedByMs: number
-  /** The clock that this is counted on. */
+  /** The clock on which this is measured. */
   now: () => number
 }
 
 export class MeetingPlace {
   readonly #hash: number
-  /** Hosts that did not answer, and until when they are passed by. */
-  readonly #passedBy = new Map<string, number>()
+  /** Hosts that didn't answer, and until when they are skipped. */
+  readonly #skippedUntil = new Map<string, number>()
 
   constructor (private readonly options: MeetingPlaceOptions) {
     this.#hash = hashOf(options.matter)
   }
 
   passBy (host: string): void {
-    this.#passedBy.set(host, this.options.now() + this.options.passedByMs)
+    this.#skippedUntil.set(host, this.options.now() + this.options.passedByMs)
   }
 
-  /** The nearest of `hosts` that is not passed by. */
+  /** Of the `hosts` that aren't skipped, the first in rendezvous order. */
   choose (hosts: readonly string[]): string | undefined {
     const now = this.options.now()
-    for (const [host, until] of this.#passedBy) if (now > until) this.#passedBy.delete(host)
-    return minBy(hosts.filter(host => !this.#passedBy.has(host)), host => rendezvousScore(this.#hash, hashOf(host)))
+    for (const [host, until] of this.#skippedUntil) if (now > until) this.#skippedUntil.delete(host)
+    return minBy(hosts.filter(host => !this.#skippedUntil.has(host)), host => rendezvousScore(this.#hash, hashOf(host)))
   }
 }
--- a/packages/fleet/src/entry/probe-exchange.ts
+++ b/packages/fleet/src/entry/probe-exchange.ts
@@ -1,70 +1,71 @@
 /**
- * Asking whether this entry may run a request whose quarantine has lapsed.
+ * Requests permission to run a request whose quarantine has expired, as a probe.
  *
- * One side process of all answers that for all entries, chosen by the same hashing; where it does not answer, nobody may for now.
- * So of the copies that come at all entries in one moment, one is sent.
+ * A single side process, chosen by rendezvous hashing, decides for all entries. Otherwise every entry would send the copy that
+ * it has received by then, and each may crash a server. If the side process doesn't answer, no probe is sent for now.
  */
 import { pause, type Log, type RequestFingerprint } from '@finchpitch/core'
 import type { Channel } from '@finchpitch/wire'
 import { nowMs, afterSocketReads } from '../clock.js'
 import { MeetingPlace } from './meeting-place.js'
 
-/** Side processes answer within some ms, across domains too. */
-const answerMs = 400
-/** One that did not answer isn't asked for this long. */
-const passedByMs = 5000
+/** Side processes answer within a few ms, also across domains. */
+const answerTimeoutMs = 400
+/** A side process that didn't answer is skipped for this long. */
+const skipMs = 5000
 
 export interface ProbeExchangeOptions {
   /** Hosts of all side processes. */
   hosts: () => readonly string[]
-  /** The channel to a side process; opens one where there is none yet. */
+  /** The channel to a side process; starts to open one if there is none. */
   channelTo: (host: string) => Channel | undefined
   log: Log
 }
 
-interface Ask {
+interface PendingRequest {
   host: string
   granted: boolean
   answered: AbortController
 }
 
 export class ProbeExchange {
-  readonly #meeting = new MeetingPlace({ matter: 'probes', passedByMs, now: nowMs })
-  /** By the stamps of their frames, which are below 0 to be told from those of news. */
-  readonly #asked = new Map<number, Ask>()
+  readonly #rendezvous = new MeetingPlace({ matter: 'probes', passedByMs: skipMs, now: nowMs })
+  /** By the stamps of their frames. These are negative, to distinguish them from the stamps of attempt reports. */
+  readonly #pending = new Map<number, PendingRequest>()
   #stamp = 0
 
   constructor (private readonly options: ProbeExchangeOptions) {}
 
+  /** Returns whether this entry may send the request. */
   async ask (fingerprint: RequestFingerprint): Promise<boolean> {
     const hosts = this.options.hosts()
-    // With nobody to meet at, entries hear of no ends but their own, and each finds out for itself.
+    // Without side processes, entries learn of no crashes but their own, so each of them probes on its own.
     if (hosts.length === 0) return true
-    const host = this.#meeting.choose(hosts)
+    const host = this.#rendezvous.choose(hosts)
     const channel = host === undefined ? undefined : this.options.channelTo(host)
     if (host === undefined || channel === undefined) return false
     this.#stamp -= 1
     const stamp = this.#stamp
-    const ask: Ask = { host, granted: false, answered: new AbortController() }
-    this.#asked.set(stamp, ask)
+    const pending: PendingRequest = { host, granted: false, answered: new AbortController() }
+    this.#pending.set(stamp, pending)
     channel.send({ type: 'crashes', stamp, crashes: [], sound: [], ask: fingerprint })
-    await pause(answerMs, ask.answered.signal)
-    if (!ask.answered.signal.aborted) await afterSocketReads()
-    this.#asked.delete(stamp)
-    if (!ask.answered.signal.aborted) this.#passBy(host)
-    return ask.granted
+    await pause(answerTimeoutMs, pending.answered.signal)
+    if (!pending.answered.signal.aborted) await afterSocketReads()
+    this.#pending.delete(stamp)
+    if (!pending.answered.signal.aborted) this.#skip(host)
+    return pending.granted
   }
 
-  /** The side process at `host` answered the frame with that stamp. */
+  /** Handles the answer of the side process at `host` to the frame with this stamp. */
   noted (host: string, stamp: number, granted: boolean): void {
-    const ask = this.#asked.get(stamp)
-    if (ask?.host !== host) return
-    ask.granted = granted
-    ask.answered.abort()
+    const pending = this.#pending.get(stamp)
+    if (pending?.host !== host) return
+    pending.granted = granted
+    pending.answered.abort()
   }
 
-  #passBy (host: string): void {
-    this.#meeting.passBy(host)
+  #skip (host: string): void {
+    this.#rendezvous.passBy(host)
     this.options.log.info('probe.not_answered', { host })
   }
 }
--- a/packages/fleet/src/entry/quota-exchange.ts
+++ b/packages/fleet/src/entry/quota-exchange.ts
@@ -1,9 +1,9 @@
 /**
- * The exchange of tokens with other entries, of teams' quotas and of limits that servers name, through one side process that all
- * choose by the same hashing.
+ * Exchanges rate-limit tokens with other entries: tokens of teams' quotas, and requests under limits that servers advertise.
  *
- * It goes on several times a second while there is a quota or a limit, and at once where a request lacks tokens. Without an answer
- * the next side process is asked; meanwhile each entry lives on its share.
+ * Tokens are pooled in a bank, a side process that all entries choose by rendezvous hashing (`quota-bank.ts`). Entries exchange
+ * several times per second while there is a quota or a limit, and at once when a request is short of tokens. If the bank
+ * doesn't answer, the next side process becomes the bank, and until then each entry spends its own share.
  */
 import { setMaxListeners } from 'node:events'
 import { sliceAgeMs, totalTokens, type TokenSlice } from '@finchpitch/decisions'
@@ -15,58 +15,66 @@
 import type { LimitsView } from './server-limits.js'
 
 const exchangeMs = 250
-/** A side process answers within some ms. */
-const answerMs = 400
-/** One that did not answer isn't asked for this long. */
-const passedByMs = 2000
-/** A request waits for tokens of others no longer, a quarter of the shortest objective of streams; most answers take 2 to 20 ms. */
-const bringMs = 150
-/** A team that was found to be short is not asked for again at once by each of its requests. */
-const shortMs = 60
-/** With this part of what was asked for, a team counts as not short: the rest is rounding. */
-const metShare = 0.99
-/** Of so many teams one frame tells, those that were short of late first: 16 slices of 20 bytes each, four times a second, are 2.5 KB/s. */
-const mostGiven = 32
-const mostWanted = 200
+/** A side process answers within a few ms. */
+const answerTimeoutMs = 400
+/** A side process that didn't answer is skipped for this long. */
+const skipMs = 2000
+/** The longest time that a request waits for tokens: a quarter of the shortest objective of streams. Most answers take 2 to 20 ms. */
+const maxWaitMs = 150
+/** After an exchange that brought a team too few tokens, its requests trigger no further exchange for this long. */
+const shortageMs = 60
+/** A team that got at least this share of what it asked for isn't short: the rest may be a rounding error. */
+const satisfiedShare = 0.99
+/**
+ * Maximum number of teams whose tokens are given in one frame; teams whose tokens other entries need come first. A slice takes
+ * 20 bytes: one of each team, in four frames per second, takes 2.5 KB/s.
+ */
+const maxTeamsGiven = 32
+/** Maximum number of teams whose tokens are requested in one frame. */
+const maxTeamsWanted = 200
 
 export interface QuotaExchangeOptions {
   quotas: Quotas
   serverLimits: LimitsView
   /** Hosts of all side processes. */
   hosts: () => readonly string[]
-  /** The channel to a side process; opens one where there is none yet. */
+  /** The channel to a side process; starts to open one if there is none. */
   channelTo: (host: string) => Channel | undefined
   log: Log
 }
 
-/** As many wait for it as there are requests that lack something; there is no leak to be warned of. */
-const answerSignal = (): AbortController => {
+/** Every request that is short of tokens listens to the signal, so Node's warning of a listener leak is disabled. */
+const createAnswerSignal = (): AbortController => {
   const answered = new AbortController()
   setMaxListeners(0, answered.signal)
   return answered
 }
 
-interface Echo { stamp: number, cameAt: number }
+/** The bank's last stamp, which the next frame returns, so that the bank can bound the time that the frame was in transit. */
+interface Echo { stamp: number, receivedAt: number }
 
 export class QuotaExchange {
   #bank: string | undefined
-  readonly #meeting = new MeetingPlace({ matter: 'quota', passedByMs, now: boottimeMs })
-  /** By channel, since a side process that starts again has another clock. */
+  readonly #rendezvous = new MeetingPlace({ matter: 'quota', passedByMs: skipMs, now: boottimeMs })
+  /** By channel, since a restarted side process has another clock. */
   readonly #echoes = new WeakMap<Channel, Echo>()
-  readonly #short = new Map<string, number>()
-  /** What requests lack that wait: asked for with the next frame. */
+  /** By team, when an exchange last brought it too few tokens. */
+  readonly #shortageAt = new Map<string, number>()
+  /** Tokens by team that waiting requests are short of; the next frame asks for them. */
   readonly #urgent = new Map<string, number>()
-  /** What the last frame asked for because of such requests. */
-  readonly #urged = new Map<string, number>()
-  /** Some request waits for the answer to the next frame. */
-  #due = false
-  #needed: ReadonlySet<string> = new Set()
+  /** Tokens by team that the last frame asked for on behalf of waiting requests. */
+  readonly #urgentSent = new Map<string, number>()
+  /** Whether a request waits for the answer to the next frame. */
+  #sendRequested = false
+  /** Teams whose tokens other entries need, as the bank last reported. */
+  #teamsInNeed: ReadonlySet<string> = new Set()
+  /** Stamp of the frame that has not been answered yet. */
   #sentAt: number | undefined
-  /** What the last frame asked for of servers' limits. */
-  #askedServers: ReadonlyMap<string, number> = new Map()
-  /** Aborts with the answer to what was sent last, and to what is sent next. */
-  #answered = answerSignal()
-  #nextAnswered = answerSignal()
+  /** Requests that the last frame asked for, by limit. */
+  #askedByLimit: ReadonlyMap<string, number> = new Map()
+  /** Aborted when the last frame, or the next one, is answered. */
+  #answered = createAnswerSignal()
+  #nextAnswered = createAnswerSignal()
 
   constructor (private readonly options: QuotaExchangeOptions) {}
 
@@ -77,114 +85,116 @@
     }
   }
 
-  /** Asks for tokens at once; resolves with the answer, or after a moment. Says whether it is of use to ask again. */
+  /** Requests tokens at once. Resolves when that is answered or times out. Returns whether it may be repeated. */
   async bring (team: string, tokens: number): Promise<boolean> {
-    if (this.#isShort(team)) return false
+    if (this.#hasShortage(team)) return false
     this.#urgent.set(team, tokens + (this.#urgent.get(team) ?? 0))
-    return await this.exchanged() && !this.#isShort(team)
+    return await this.exchanged() && !this.#hasShortage(team)
   }
 
-  /** Asks for what is lacked by now, at once; resolves with the answer, or after a moment. Says whether it was answered. */
+  /** Requests at once whatever this entry is short of. Resolves when that is answered or times out. Returns whether it was answered. */
   async exchanged (): Promise<boolean> {
     const { signal } = this.#nextAnswered
-    this.#due = true
+    this.#sendRequested = true
     if (this.#sentAt === undefined) this.#send()
     if (this.#sentAt === undefined) return false
-    await pause(bringMs, signal)
+    await pause(maxWaitMs, signal)
     if (!signal.aborted) await afterSocketReads()
     return signal.aborted
   }
 
+  /** Handles an answer of the side process at `host`. Grants count even if it is no longer the bank. */
   take (host: string, channel: Channel, frame: FrameOf<'quota_grant'>): void {
     const now = boottimeMs()
-    this.#echoes.set(channel, { stamp: frame.bankStamp, cameAt: now })
+    this.#echoes.set(channel, { stamp: frame.bankStamp, receivedAt: now })
     const granted = slicesOf(frame.grants, frame.stamp, now)
-    const servers = slicesOf(frame.servers ?? [], frame.stamp, now)
+    const requests = slicesOf(frame.servers ?? [], frame.stamp, now)
     for (const [team, slices] of granted) this.options.quotas.accounts.get(team)?.granted(slices)
     if (host !== this.#bank) return
-    this.options.serverLimits.granted(servers, this.#askedServers)
-    this.#askedServers = new Map()
-    this.#needed = new Set(frame.needed)
+    this.options.serverLimits.granted(requests, this.#askedByLimit)
+    this.#askedByLimit = new Map()
+    this.#teamsInNeed = new Set(frame.needed)
     this.#sentAt = undefined
-    for (const [team, wanted] of this.#urged) if (totalTokens(granted.get(team) ?? []) < wanted * metShare) this.#short.set(team, now)
-    this.#urged.clear()
+    for (const [team, wanted] of this.#urgentSent) if (totalTokens(granted.get(team) ?? []) < wanted * satisfiedShare) this.#shortageAt.set(team, now)
+    this.#urgentSent.clear()
     this.#answered.abort()
-    if (this.#due) this.#send()
+    if (this.#sendRequested) this.#send()
   }
 
-  #isShort (team: string): boolean {
-    return boottimeMs() - (this.#short.get(team) ?? -Infinity) < shortMs
+  #hasShortage (team: string): boolean {
+    return boottimeMs() - (this.#shortageAt.get(team) ?? -Infinity) < shortageMs
   }
 
   async #tick (): Promise<void> {
     if (this.options.quotas.accounts.size === 0 && this.options.serverLimits.none) return
+    // After a stall of this process, the answer may be waiting in the socket.
     if (this.#overdue) await afterSocketReads()
-    if (this.#overdue) this.#passBy()
+    if (this.#overdue) this.#skipBank()
     if (this.#sentAt === undefined) this.#send()
   }
 
   get #overdue (): boolean {
-    return this.#sentAt !== undefined && boottimeMs() - this.#sentAt >= answerMs
+    return this.#sentAt !== undefined && boottimeMs() - this.#sentAt >= answerTimeoutMs
   }
 
-  #passBy (): void {
-    if (this.#bank !== undefined) this.#meeting.passBy(this.#bank)
+  #skipBank (): void {
+    if (this.#bank !== undefined) this.#rendezvous.passBy(this.#bank)
     this.#sentAt = undefined
   }
 
-  #choose (): string | undefined {
-    const bank = this.#meeting.choose(this.options.hosts())
+  #chooseBank (): string | undefined {
+    const bank = this.#rendezvous.choose(this.options.hosts())
     if (bank !== this.#bank) this.options.log.info('quota.bank_changed', { host: bank, before: this.#bank })
     this.#bank = bank
     return bank
   }
 
   #send (): void {
-    const bank = this.#choose()
+    const bank = this.#chooseBank()
     const channel = bank === undefined ? undefined : this.options.channelTo(bank)
     if (channel === undefined) return
-    const frame = this.#frame(channel)
-    this.#due = false
+    const frame = this.#buildFrame(channel)
+    this.#sendRequested = false
     channel.send(frame)
     this.#sentAt = frame.stamp
     this.#answered = this.#nextAnswered
-    this.#nextAnswered = answerSignal()
+    this.#nextAnswered = createAnswerSignal()
   }
 
-  #frame (channel: Channel): FrameOf<'quota'> {
+  #buildFrame (channel: Channel): FrameOf<'quota'> {
     const now = boottimeMs()
     const echo = this.#echoes.get(channel)
     const gives: TokenAge[] = []
     const wants: Array<[string, number]> = []
-    const idle: Array<[team: string, account: TeamAccount]> = []
+    const surplus: Array<[team: string, account: TeamAccount]> = []
     for (const [team, account] of this.options.quotas.accounts) {
       const urgent = this.#urgent.get(team)
       const wanted = account.wants(urgent)
-      if (urgent !== undefined && wanted > 0) this.#urged.set(team, wanted)
-      if (wanted === 0) idle.push([team, account])
-      else if (wants.length < mostWanted) wants.push([team, wanted])
+      if (urgent !== undefined && wanted > 0) this.#urgentSent.set(team, wanted)
+      if (wanted === 0) surplus.push([team, account])
+      else if (wants.length < maxTeamsWanted) wants.push([team, wanted])
     }
     this.#urgent.clear()
     if (echo !== undefined) {
-      idle.sort(([a], [b]) => Number(this.#needed.has(b)) - Number(this.#needed.has(a)))
-      for (const [team, account] of idle.slice(0, mostGiven)) {
+      surplus.sort(([a], [b]) => Number(this.#teamsInNeed.has(b)) - Number(this.#teamsInNeed.has(a)))
+      for (const [team, account] of surplus.slice(0, maxTeamsGiven)) {
         for (const slice of account.takeSurplus()) gives.push([team, slice.tokens, sliceAgeMs(slice, now)])
       }
     }
-    return { type: 'quota', stamp: now, ...(echo === undefined ? {} : { echo: { stamp: echo.stamp, heldMs: now - echo.cameAt } }), gives, wants, ...this.#serversPart(echo !== undefined) }
+    return { type: 'quota', stamp: now, ...(echo === undefined ? {} : { echo: { stamp: echo.stamp, heldMs: now - echo.receivedAt } }), gives, wants, ...this.#limitsPart(echo !== undefined) }
   }
 
-  /** What is given and asked of servers' limits; nothing is given where it can't be told how long it is under way. */
-  #serversPart (giving: boolean): Pick<FrameOf<'quota'>, 'servers'> {
+  /** The part of a frame about servers' limits. Without an echo nothing is given, as the bank can't bound the transit time. */
+  #limitsPart (giving: boolean): Pick<FrameOf<'quota'>, 'servers'> {
     const { serverLimits } = this.options
     if (serverLimits.none) return {}
     const { gives, wants } = serverLimits.offers(giving)
-    this.#askedServers = new Map(wants.map(([limit, count]) => [limit, count]))
+    this.#askedByLimit = new Map(wants.map(([limit, count]) => [limit, count]))
     return { servers: { gives, wants } }
   }
 }
 
-/** By name, on this process's clock: tokens were that old when the answer was made, which was after the stamp. */
+/** Granted tokens by team or limit, on this process's clock. Their ages hold for the time of the answer, which is later than the stamp. */
 const slicesOf = (grants: readonly TokenAge[], stamp: number, now: number): Map<string, TokenSlice[]> => {
   const byName = new Map<string, TokenSlice[]>()
   for (const [name, tokens, ageMs] of grants) {
--- a/packages/fleet/src/entry/quotas.ts
+++ b/packages/fleet/src/entry/quotas.ts
@@ -1,9 +1,10 @@
 /**
- * What each team may still ask at this entry.
+ * Enforces the quotas of teams at this entry.
  *
- * Load pattern: a team's callers stay on few entries, and one team sends many times its usual. Equal shares would leave such
- * a team one part in 26 of its quota. So each entry earns an equal share of every quota, by the most entries that may exist,
- * and what it does not need goes to a side process that hands it to entries that do (`quota-exchange.ts`).
+ * The callers of a team stay on few entries, and a team may suddenly send many times its usual load. With a fixed equal share
+ * of the quota per entry, a team whose callers are all on one of 26 entries would get a 26th of it. So each entry earns an
+ * equal share of every quota, divided by an upper bound of the number of entries, and gives the tokens that it doesn't need to
+ * a side process that passes them to entries that do (`quota-exchange.ts`).
  */
 import { DecayingSum, totalTokens, type TokenSlice } from '@finchpitch/decisions'
 import { boottimeMs } from '../clock.js'
@@ -11,37 +12,37 @@
 import type { FleetTeam, Quota } from '../team.js'
 import { EarnedTokens } from './earned-tokens.js'
 
-/** Over which demand is averaged: a flood is met within half a second, and single requests make no demand. */
+/** Half-life of the average of the demand: it follows a surge within half a second, and single requests hardly count. */
 const demandHalfLifeMs = 500
-/** So much of its demand, and of its own share, an entry keeps at hand: two exchanges. */
-const keptMs = 500
-/** With less than this part of it at hand, it asks for more; so most exchanges ask for nothing. */
-const askShare = 0.5
-/** So many requests of the usual size are kept at hand, or most requests of a team with a small share would wait for an exchange, */
-const keptRequests = 2
-/** but no more than this part of what its own share can hold: the rest is for others, and lapses if it stays. */
-const ownShare = 0.6
-/** The part by which a request moves the usual size. */
+/** An entry keeps tokens in reserve for its demand, and from its own share, of this time: two exchanges. */
+const reserveMs = 500
+/** It requests tokens when it has less than this share of the reserve. As a result, most exchanges request none. */
+const lowWatermark = 0.5
+/** The reserve covers this many requests of average size, or most requests of a team with a small share would wait for an exchange, */
+const reserveRequests = 2
+/** but at most this share of the tokens that the entry earns within their lifetime: other entries need the rest, and it expires if kept. */
+const maxReserveShare = 0.6
+/** Weight of a request in the moving average of request sizes. */
 const sizeWeight = 0.1
-/** Fewer tokens aren't worth giving away: a request of the usual size has some 700. */
-const leastGiven = 200
-/** Requests that come meanwhile may take what was brought for one that waits, which then asks again. */
-const mostBrings = 3
-/** When a refused caller should come back, whatever the sums say. */
-const retrySpan = { leastMs: 100, mostMs: 5000 }
-
-/** Tokens of the request's stated prompt and answer together, `plain` where it states none. */
-export const tokensOf = (stated: string | undefined, plain: number): number => {
+/** A smaller surplus isn't worth giving away: an average request costs about 700 tokens. */
+const minGiven = 200
+/** Requests that arrive meanwhile may take the tokens granted for a waiting request, which then requests tokens again. */
+const maxTokenRequests = 3
+/** Bounds of the time after which a rejected caller is told to retry. */
+const retryRange = { minMs: 100, maxMs: 5000 }
+
+/** Tokens of prompt and answer together, as stated by the request in the form `prompt,answer`; `defaultTokens` if it states none. */
+export const tokensOf = (stated: string | undefined, defaultTokens: number): number => {
   const [tokensIn, tokensOut] = (stated ?? '').split(',').map(Number)
   const sum = (tokensIn ?? NaN) + (tokensOut ?? NaN)
-  return Number.isFinite(sum) && sum >= 0 ? sum : plain
+  return Number.isFinite(sum) && sum >= 0 ? sum : defaultTokens
 }
 
-/** What one request counts. */
+/** What one request costs, in the unit of the quota. */
 export const costOf = ({ unit, plainTokens }: Quota, stated: string | undefined): number =>
   unit === 'requests' ? 1 : tokensOf(stated, plainTokens)
 
-/** Tokens set aside for one request. */
+/** Tokens reserved for one request. */
 export interface Reservation {
   team: string
   slices: TokenSlice[]
@@ -52,82 +53,88 @@
   readonly #tokens: EarnedTokens
   readonly #demand = new DecayingSum(demandHalfLifeMs)
   readonly #granted = new DecayingSum(demandHalfLifeMs)
-  /** Of requests here, aged. */
-  #usualSize = 0
+  /** Moving average of the request sizes at this entry. */
+  #averageSize = 0
 
   constructor (quota: Quota, limits: () => Limits, entries: () => number) {
     this.#tokens = new EarnedTokens(quota, () => quotaBoundOf(limits()), entries)
   }
 
-  /** A new table has another quota. */
+  /** Called when the table changes. */
   setQuota (quota: Quota): void {
     this.#tokens.setRate(quota)
   }
 
-  /** A request asks for so many. */
+  /** Counts the tokens that a request costs as demand. */
   demand (tokens: number): void {
     this.#demand.add(tokens, boottimeMs())
-    this.#usualSize += (tokens - this.#usualSize) * sizeWeight
+    this.#averageSize += (tokens - this.#averageSize) * sizeWeight
   }
 
+  /** Takes exactly `tokens`; `undefined` if there are fewer. */
   take (tokens: number): TokenSlice[] | undefined {
     return this.#tokens.take(tokens)
   }
 
+  /** Adds tokens that were granted, or that belong to a request that was not sent. */
   give (slices: readonly TokenSlice[]): void {
     this.#tokens.give(slices)
   }
 
+  /** Adds tokens that other entries gave, and counts them for the estimate of when more are available. */
   granted (slices: readonly TokenSlice[]): void {
     this.give(slices)
     for (const { tokens } of slices) this.#granted.add(tokens, boottimeMs())
   }
 
-  /** Whether what was set aside may still be spent. */
+  /** Whether reserved tokens have not expired. */
   lasts (slices: readonly TokenSlice[]): boolean {
     return slices.every(slice => slice.earnedAt >= this.#tokens.since)
   }
 
-  /** How many it lacks for what is asked here, and for a request of `more` tokens. */
-  wants (more = 0): number {
+  /** How many tokens this entry is short of, for a waiting request of `waitingTokens` and for its reserve. */
+  wants (waitingTokens = 0): number {
     this.#tokens.earn()
-    const has = this.#tokens.total
-    return has < Math.max(more, this.#keeps * askShare) ? more + this.#keeps - has : 0
+    const available = this.#tokens.total
+    return available < Math.max(waitingTokens, this.#reserve * lowWatermark) ? waitingTokens + this.#reserve - available : 0
   }
 
-  /** What it does not need, the oldest first: what is kept stays young, and nothing lapses at an entry without demand. */
+  /**
+   * Takes the tokens above the reserve, the oldest first. The reserve thus stays young, and no tokens expire at an entry
+   * without demand.
+   */
   takeSurplus (): TokenSlice[] {
     this.#tokens.earn()
-    const surplus = this.#tokens.total - this.#keeps
-    return surplus < leastGiven ? [] : this.#tokens.takeUpTo(surplus)
+    const surplus = this.#tokens.total - this.#reserve
+    return surplus < minGiven ? [] : this.#tokens.takeUpTo(surplus)
   }
 
-  /** Until so many may be there, by what came of late. */
+  /** Estimated time until this many tokens are available, from the recent grants. */
   readyInMs (tokens: number): number {
-    const lacking = tokens - this.#tokens.total
-    const ms = lacking / (this.#tokens.ownRate + rateOf(this.#granted)) * 1000
-    return Math.min(retrySpan.mostMs, Math.max(retrySpan.leastMs, ms))
+    const missing = tokens - this.#tokens.total
+    const ms = missing / (this.#tokens.ownRate + rateOf(this.#granted)) * 1000
+    return Math.min(retryRange.maxMs, Math.max(retryRange.minMs, ms))
   }
 
   /**
-   * Where nothing was asked for, some of its own share too: with none, the first request of each team at each entry would
-   * have to wait for an exchange, 700 a second of them at one side process.
+   * Tokens to keep for this entry. Without demand, this is a part of its own share: if it were nothing, the first request of
+   * each team at each entry would have to wait for an exchange, and one side process would get 700 of those per second.
    */
-  get #keeps (): number {
-    const { ownRate: own, lifeMs } = this.#tokens
-    const requests = Math.min(keptRequests * this.#usualSize, own * lifeMs / 1000 * ownShare)
-    return Math.max(rateOf(this.#demand) * keptMs / 1000, own * keptMs / 1000, requests)
+  get #reserve (): number {
+    const { ownRate, lifeMs: lifetimeMs } = this.#tokens
+    const requests = Math.min(reserveRequests * this.#averageSize, ownRate * lifetimeMs / 1000 * maxReserveShare)
+    return Math.max(rateOf(this.#demand) * reserveMs / 1000, ownRate * reserveMs / 1000, requests)
   }
 }
 
-/** Tokens a second. */
+/** Tokens per second. */
 const rateOf = (sum: DecayingSum): number => sum.at(boottimeMs()) * Math.LN2 / demandHalfLifeMs * 1000
 
 export interface QuotasOptions {
   limits: () => Limits
-  /** The most entries that may exist. */
+  /** An upper bound of the number of entries. */
   entries: () => number
-  /** Asks others for tokens at once; resolves when they answered, or after a moment. Says whether it is of use to ask again. */
+  /** Requests tokens from other entries at once. Resolves when that is answered or times out. Returns whether it may be repeated. */
   bring: (team: string, tokens: number) => Promise<boolean>
 }
 
@@ -140,34 +147,34 @@
     return this.#accounts
   }
 
-  /** Follows the table: accounts begin at once, as they earn before their first request. */
+  /** Applies the teams of a new table. Accounts are created before the first request, so that they earn tokens for it. */
   follow (teams: readonly FleetTeam[]): void {
     const { limits, entries } = this.options
-    const limited = new Map(teams.flatMap(({ name, quota }) => quota === undefined ? [] : [[name, quota] as const]))
-    for (const name of this.#accounts.keys()) if (!limited.has(name)) this.#accounts.delete(name)
-    for (const [name, quota] of limited) {
+    const teamQuotas = new Map(teams.flatMap(({ name, quota }) => quota === undefined ? [] : [[name, quota] as const]))
+    for (const name of this.#accounts.keys()) if (!teamQuotas.has(name)) this.#accounts.delete(name)
+    for (const [name, quota] of teamQuotas) {
       const known = this.#accounts.get(name)
       if (known === undefined) this.#accounts.set(name, new TeamAccount(quota, limits, entries))
       else known.setQuota(quota)
     }
   }
 
-  /** Sets aside what the request counts. Gives the milliseconds until that may be there where it isn't. */
+  /** Reserves what the request costs. If that isn't available, returns the estimated milliseconds until it is. */
   async reserve (team: FleetTeam, stated: string | undefined): Promise<Reservation | number> {
     const account = this.#accounts.get(team.name)
     if (account === undefined || team.quota === undefined) return { team: team.name, slices: [], spent: false }
     const tokens = costOf(team.quota, stated)
     account.demand(tokens)
-    const taken = account.take(tokens) ?? await this.#bring(account, team.name, tokens)
+    const taken = account.take(tokens) ?? await this.#requestTokens(account, team.name, tokens)
     return taken === undefined ? account.readyInMs(tokens) : { team: team.name, slices: taken, spent: false }
   }
 
-  /** Whether what was set aside is for this team and may still be spent. */
+  /** Whether the reservation is for this team and its tokens have not expired. */
   lasts ({ team, slices }: Reservation, { name }: FleetTeam): boolean {
     return team === name && this.#accounts.get(team)?.lasts(slices) !== false
   }
 
-  /** The request is being sent. Says whether its tokens, or others in their place, may be spent now. */
+  /** Spends the reservation just before the request is sent, with fresh tokens if it has expired. Returns whether there were enough. */
   spend (reservation: Reservation): boolean {
     const account = this.#accounts.get(reservation.team)
     if (reservation.spent || account === undefined || account.lasts(reservation.slices)) {
@@ -182,18 +189,18 @@
     return true
   }
 
-  /** The request was not sent. */
+  /** Returns the tokens of a request that was not sent. */
   release (reservation: Reservation): void {
     if (reservation.spent) return
     this.#accounts.get(reservation.team)?.give(reservation.slices)
     reservation.slices = []
   }
 
-  async #bring (account: TeamAccount, team: string, tokens: number): Promise<TokenSlice[] | undefined> {
-    for (let each = 0; each < mostBrings; each++) {
-      const more = await this.options.bring(team, tokens)
+  async #requestTokens (account: TeamAccount, team: string, tokens: number): Promise<TokenSlice[] | undefined> {
+    for (let attempt = 0; attempt < maxTokenRequests; attempt++) {
+      const mayRepeat = await this.options.bring(team, tokens)
       const taken = account.take(tokens)
-      if (taken !== undefined || !more) return taken
+      if (taken !== undefined || !mayRepeat) return taken
     }
     return undefined
   }
--- a/packages/fleet/src/entry/server-limits.ts
+++ b/packages/fleet/src/entry/server-limits.ts
@@ -1,9 +1,9 @@
 /**
- * Servers that name how many requests a second they take from all entries together, as this entry knows them: by its own answers
- * and by what others tell.
+ * Enforces the limits of servers that advertise how many requests per second they accept from all entries together.
  *
- * It binds at once and at every entry that hears of it, whatever becomes of the requests: first ones, repeats and resumed streams
- * are counted in the moment in which they are written. Each entry earns its share; what it does not need goes to those that do.
+ * An entry learns of a limit from a response of the server or from the reports of other entries, and applies it at once. First
+ * attempts, retries and resumed streams count alike, when they are written and whatever their outcome. Each entry earns an
+ * equal share of the limit, and gives what it doesn't need to entries that do.
  */
 import type { Log } from '@finchpitch/core'
 import { AdvertisedLimits, sliceAgeMs, type AdvertisedLimit, type TokenSlice } from '@finchpitch/decisions'
@@ -17,96 +17,101 @@
 import { LimitAccount } from './limit-account.js'
 
 /**
- * A server from which nothing was heard for so long may be sent one request, or an entry whose share never makes one would not
- * hear the end. Entries that hear nothing of each other do so one each three seconds.
+ * After this time without a statement from a server, one request may be sent to it beyond its limit. Otherwise an entry whose
+ * share never adds up to a request would not notice that the limit has ended. The time is randomized so that entries without
+ * contact to each other together send about one such request every three seconds.
  */
-const quietMs = 10_000
-const quietPerEntryMs = 3000
+const silenceMs = 10_000
+const silencePerEntryMs = 3000
 
-/** A server whose entry lapsed while the store was away is back within some seconds; one that is not listed for so long is gone. */
+/** A server whose registration expired during a store outage is listed again within seconds; one missing for this long is gone. */
 const unlistedMs = 30_000
 
-/** Whose word it is where no other process told it. */
+/** Source in the log of a limit that this entry read from a response itself. */
 const ownAnswer = 'own answer'
 
-/** One server under a limit. */
-interface Limited {
+/** A server with a limit. */
+interface LimitedServer {
+  /** Names the limit in exchanges. */
   name: string
-  /** Its service; `undefined` until a request asks for it. */
+  /** `undefined` until a request selects the server. */
   service: string | undefined
   account: LimitAccount
-  /** When it may be asked anew, on the steady clock. */
-  quietUntil: number
-  /** When it was last listed. */
+  /** When a request beyond the limit may check whether it still holds, on the monotonic clock. */
+  recheckAt: number
+  /** When the server was last listed. */
   listedAt: number
 }
 
-/** What allows one request to be sent to a server. */
+/** Permission to send one request to a server. */
 export type LimitPass = { type: 'free' } | { type: 'spent', account: LimitAccount, slices: TokenSlice[] } | { type: 'asking' }
 
-/** Where one server's limit stands for a choice. */
+/** State of one server's limit, for the selection of a server. */
 export interface LimitState {
+  /** Whether a request may be sent now. */
   ready: boolean
   readyInMs: number
-  /** That this entry may send now. */
+  /** Requests per second that this entry may send. */
   perSecond: number
 }
 
 export interface ServerLimitsOptions {
-  /** The most entries that may exist. */
+  /** An upper bound of the number of entries. */
   entries: () => number
   exchange: Pick<TryNewsExchange, 'tell'>
-  /** Asks other entries for what is lacked; resolves with their answer, or after a moment. */
+  /** Requests tokens from other entries. Resolves when that is answered or times out. */
   exchanged: () => Promise<unknown>
-  /** How many requests wait at this entry until a server of the service may be sent one. */
+  /** Number of requests queued at this entry until a rate-limited server of the service may be sent one. */
   waiting: (service: string) => number
-  /** Another figure holds, or requests came: those that wait look again. */
+  /** Called when a limit changes or tokens were granted, so that queued requests are reconsidered. */
   changed: () => void
   counters: EntryCounters
   log: Log
 }
 
 export class ServerLimits {
-  readonly #ledger = new AdvertisedLimits()
-  readonly #limited = new Map<string, Limited>()
+  readonly #advertised = new AdvertisedLimits()
+  /** By incarnation of the server. */
+  readonly #limited = new Map<string, LimitedServer>()
 
   constructor (private readonly options: ServerLimitsOptions) {}
 
-  /** No server names a limit, so nothing need be looked up. */
+  /** Whether no server has a limit, so that lookups can be skipped. */
   get none (): boolean {
     return this.#limited.size === 0
   }
 
+  /** Number of servers with a limit. */
   get size (): number {
     return this.#limited.size
   }
 
-  /** What an answer of the server said of its limit. `sentAt`: of its request, on the steady clock. */
+  /** Records the limit that a response stated, `Infinity` for none. `sentAt`: when its request was sent, on the monotonic clock. */
   heard (server: BackendServer, perSecond: number | undefined, sentAt: number, request: string): void {
     if (perSecond === undefined || (perSecond === Infinity && this.none)) return
-    const word = { server: incarnationOf(server), perSecond, sentAt, heardAt: nowMs() }
-    if (this.#note(word, ownAnswer, request)) this.options.exchange.tell({ crashes: [], sound: [], limits: [word], probes: [] })
+    const limit = { server: incarnationOf(server), perSecond, sentAt, heardAt: nowMs() }
+    if (this.#record(limit, ownAnswer, request)) this.options.exchange.tell({ crashes: [], sound: [], limits: [limit], probes: [] })
   }
 
-  /** What a side process passes on. */
+  /** Records the reports of other entries that a side process relays. */
   take (frame: FrameOf<'crashes'>, from: string): void {
-    for (const word of limitsFromFrame(frame)) this.#note(word, from)
+    for (const limit of limitsFromFrame(frame)) this.#record(limit, from)
   }
 
-  /** Where the server's limit stands; `undefined` where it names none. */
+  /** State of the server's limit; `undefined` if it has none. */
   state (server: BackendServer): LimitState | undefined {
-    const limited = this.#at(server)
+    const limited = this.#find(server)
     if (limited === undefined) return undefined
-    const { account, quietUntil } = limited
-    return { ready: account.ready > 0 || nowMs() >= quietUntil, readyInMs: account.readyInMs, perSecond: account.perSecond }
+    const { account, recheckAt } = limited
+    return { ready: account.ready > 0 || nowMs() >= recheckAt, readyInMs: account.readyInMs, perSecond: account.perSecond }
   }
 
   /**
-   * A request would go there. Where this entry may send none now and others have some, resolves once they were asked. Says whether
-   * it may be sent.
+   * Counts a request that selected the server. If this entry has no token left but others may, waits for an exchange. Returns
+   * whether the request may be sent.
    */
   async bring (server: BackendServer): Promise<boolean> {
-    const account = this.#at(server)?.account
+    const account = this.#find(server)?.account
     account?.demand()
     if (account !== undefined && account.ready === 0 && account.askable) await account.asking(this.options.exchanged)
     const ready = this.state(server)?.ready !== false
@@ -114,40 +119,40 @@
     return ready
   }
 
-  /** A request is about to be written; `undefined` where the server takes none now. */
+  /** Takes the permission to write one request; `undefined` if the limit allows none now. */
   pass (server: BackendServer): LimitPass | undefined {
-    const limited = this.#at(server)
+    const limited = this.#find(server)
     if (limited === undefined) return { type: 'free' }
     const slices = limited.account.take()
     if (slices !== undefined) return { type: 'spent', account: limited.account, slices }
-    if (nowMs() >= limited.quietUntil) {
-      limited.quietUntil = this.#nextAsked()
+    if (nowMs() >= limited.recheckAt) {
+      limited.recheckAt = this.#nextRecheck()
       return { type: 'asking' }
     }
     this.options.counters.rateLimited.inc()
     return undefined
   }
 
-  /** It was not written after all. */
-  giveBack (pass: LimitPass): void {
-    if (pass.type === 'spent') pass.account.give(pass.slices)
+  /** Returns the permission of a request that was not written. */
+  giveBack (permit: LimitPass): void {
+    if (permit.type === 'spent') permit.account.give(permit.slices)
   }
 
-  /** What is given to other entries where anything may be, and asked of them. */
+  /** What to give to other entries, where `giving`, and what to request from them. */
   offers (giving: boolean): { gives: RequestAge[], wants: RequestWant[] } {
     const now = boottimeMs()
     const gives: RequestAge[] = []
     const wants: RequestWant[] = []
     for (const { name, service, account } of this.#limited.values()) {
-      const waiting = this.#waitingFor(service)
-      const wanted = account.wants(waiting)
+      const queued = this.#queuedFor(service)
+      const wanted = account.wants(queued)
       if (wanted > 0 && wants.length < mostLimits) wants.push([name, wanted, account.lifeMs])
-      for (const slice of giving ? account.takeSurplus(waiting) : []) gives.push([name, slice.tokens, sliceAgeMs(slice, now)])
+      for (const slice of giving ? account.takeSurplus(queued) : []) gives.push([name, slice.tokens, sliceAgeMs(slice, now)])
     }
     return { gives, wants }
   }
 
-  /** Others gave `slices` of the requests that were `asked` for, by the names of the limits. */
+  /** Adds what other entries granted of the `asked` requests, both by the name of the limit. */
   granted (slices: ReadonlyMap<string, TokenSlice[]>, asked: ReadonlyMap<string, number>): void {
     for (const { name, account } of this.#limited.values()) {
       const wanted = asked.get(name)
@@ -156,70 +161,75 @@
     if (slices.size > 0) this.options.changed()
   }
 
-  /** Called now and then, with all servers that are listed. */
+  /** Called periodically, with all listed servers. */
   expire (listed: Iterable<BackendServer>): void {
-    if (this.#ledger.size === 0) return
+    if (this.#advertised.size === 0) return
     const now = nowMs()
-    this.#ledger.expire(now)
-    const lives = new Set(Array.from(listed, incarnationOf))
-    for (const [life, limited] of this.#limited) {
-      if (lives.has(life)) limited.listedAt = now
-      else if (now - limited.listedAt > unlistedMs) this.#ledger.remove(life)
-      if (this.#ledger.perSecond(life) === Infinity) this.#limited.delete(life)
+    this.#advertised.expire(now)
+    const incarnations = new Set(Array.from(listed, incarnationOf))
+    for (const [incarnation, limited] of this.#limited) {
+      if (incarnations.has(incarnation)) limited.listedAt = now
+      else if (now - limited.listedAt > unlistedMs) this.#advertised.remove(incarnation)
+      if (this.#advertised.perSecond(incarnation) === Infinity) this.#limited.delete(incarnation)
     }
   }
 
-  /** All limits that hold, to a side process that was joined: it may have started anew. */
+  /** Sends all limits in effect to a side process that has connected, since it may have restarted. */
   greet (side: Channel): void {
-    sendKnownLimits(this.#ledger, side)
+    sendKnownLimits(this.#advertised, side)
   }
 
-  #at (server: BackendServer): Limited | undefined {
+  /** The server's limit, if it has one. Learns the server's service, which reports don't contain. */
+  #find (server: BackendServer): LimitedServer | undefined {
     const limited = this.none ? undefined : this.#limited.get(incarnationOf(server))
     if (limited !== undefined) limited.service = server.service
     return limited
   }
 
-  /** Its part of the requests that wait for any of the service's servers. */
-  #waitingFor (service: string | undefined): number {
+  /** One server's part of the requests queued for any rate-limited server of its service. */
+  #queuedFor (service: string | undefined): number {
     if (service === undefined) return 0
     const servers = [...this.#limited.values()].filter(limited => limited.service === service).length
     return Math.ceil(this.options.waiting(service) / servers)
   }
 
-  #nextAsked (): number {
-    return nowMs() + quietMs + Math.random() * this.options.entries() * quietPerEntryMs
+  #nextRecheck (): number {
+    return nowMs() + silenceMs + Math.random() * this.options.entries() * silencePerEntryMs
   }
 
-  #note (word: AdvertisedLimit, from: string, request?: string): boolean {
-    const { server } = word
-    const before = this.#ledger.perSecond(server)
-    const holds = this.#ledger.note(word)
-    if (holds) this.#begin(word, { from, request, before: figureOf(before) })
-    else this.#heardAgain(word, before)
-    return holds
+  /** Returns whether that changed the limit in effect. */
+  #record (limit: AdvertisedLimit, from: string, request?: string): boolean {
+    const { server } = limit
+    const before = this.#advertised.perSecond(server)
+    const changed = this.#advertised.note(limit)
+    if (changed) this.#apply(limit, { from, request, before: loggedRate(before) })
+    else this.#recordUnchanged(limit, before)
+    return changed
   }
 
-  #begin ({ server, perSecond, heardAt }: AdvertisedLimit, source: { from: string, request: string | undefined, before: number | 'none' }): void {
-    const { entries, log, changed } = this.options
-    log.info('server.limited', { server, perSecond: figureOf(perSecond), ...source, agoMs: Math.round(nowMs() - heardAt), entries: entries() })
+  /** Puts a new limit into effect, or ends the server's limit. */
+  #apply ({ server, perSecond, heardAt }: AdvertisedLimit, source: { from: string, request: string | undefined, before: number | 'none' }): void {
+    const { entries, log, changed: onChange } = this.options
+    log.info('server.limited', { server, perSecond: loggedRate(perSecond), ...source, agoMs: Math.round(nowMs() - heardAt), entries: entries() })
     if (perSecond === Infinity) this.#limited.delete(server)
-    else this.#limited.set(server, { name: limitKeyOf(server, perSecond), service: undefined, account: new LimitAccount(perSecond, entries), quietUntil: this.#nextAsked(), listedAt: nowMs() })
-    changed()
+    else this.#limited.set(server, { name: limitKeyOf(server, perSecond), service: undefined, account: new LimitAccount(perSecond, entries), recheckAt: this.#nextRecheck(), listedAt: nowMs() })
+    onChange()
   }
 
-  /** Nothing changed by the word: it says the same again, or is not surely newer than the figure that holds. Then one request finds out. */
-  #heardAgain ({ server, perSecond }: AdvertisedLimit, before: number): void {
+  /**
+   * Handles a statement that changed nothing: it repeats the limit in effect, or isn't certainly more recent. If it was the
+   * higher one, a request may check at once which of them holds.
+   */
+  #recordUnchanged ({ server, perSecond }: AdvertisedLimit, before: number): void {
     const limited = this.#limited.get(server)
-    if (limited !== undefined) limited.quietUntil = perSecond > before ? nowMs() : this.#nextAsked()
+    if (limited !== undefined) limited.recheckAt = perSecond > before ? nowMs() : this.#nextRecheck()
   }
 }
 
-/** As the log shows it. */
-const figureOf = (perSecond: number): number | 'none' => perSecond === Infinity ? 'none' : perSecond
+const loggedRate = (perSecond: number): number | 'none' => perSecond === Infinity ? 'none' : perSecond
 
-/** What those need to know who choose servers and exchange tokens. */
+/** The part that the selection of servers and the exchange of tokens use. */
 export type LimitsView = Pick<ServerLimits, 'none' | 'state' | 'bring' | 'offers' | 'granted'>
 
-/** Where no server names a limit. */
+/** No server has a limit. */
 export const noLimits: LimitsView = { none: true, state: () => undefined, bring: async () => true, offers: () => ({ gives: [], wants: [] }), granted: () => {} }
--- a/packages/fleet/src/entry/try-news-exchange.ts
+++ b/packages/fleet/src/entry/try-news-exchange.ts
@@ -1,9 +1,10 @@
 /**
- * Telling the other entries what tries met: servers that ended under requests, and limits that servers name.
+ * Reports the results of attempts to the other entries: servers that crashed while running requests, requests that ran without
+ * a crash, probes, and limits that servers advertise.
  *
- * One side process of each failure domain is told, the same by all entries, and tells the entries that follow it. So an end
- * costs an entry one frame a domain, and each entry one frame for what all others met together. A side process that does not
- * answer is passed by and the next one is told.
+ * Reports go to one side process of each failure domain, the same for all entries, which relays them to its subscribers. A
+ * crash thus costs an entry one frame per domain, and the reports of all other entries reach it in one frame. A side process
+ * that doesn't acknowledge a report is skipped, and the next one is tried.
  */
 import type { Log } from '@finchpitch/core'
 import type { Channel } from '@finchpitch/wire'
@@ -12,121 +13,122 @@
 import { CoalescingTimer } from '../coalescing-timer.js'
 import { MeetingPlace } from './meeting-place.js'
 
-/** A server that ends takes a batch of requests along; they are told together. */
-const crashesMs = 5
-/** Side processes answer within some ms, across domains too; one that is not joined yet within 0.3 s. */
-const answerMs = 400
-const checkMs = 100
-/** One that did not answer isn't told for this long. */
-const passedByMs = 5000
-/** By then every side process of a small domain was tried. */
-const mostTries = 5
-
-/** Where a side process is, and whether it can be told now. */
+/** A crash fails all requests on the server, up to a whole batch; these are reported together. */
+const crashBatchMs = 5
+/** Side processes acknowledge within a few ms, also across domains, or within 0.3 s if the channel has to be opened first. */
+const ackTimeoutMs = 400
+const checkIntervalMs = 100
+/** A side process that didn't acknowledge a report is skipped for this long. */
+const skipMs = 5000
+/** Enough for each side process of a small domain to be tried. */
+const maxAttempts = 5
+
+/** A side process that reports may be sent to. */
 export interface SidePlace {
   host: string
   domain: string
-  /** Not shown to be stuck or gone. */
+  /** `false` if it is known to be unresponsive or disconnected. */
   lively: boolean
 }
 
 export interface TryNewsExchangeOptions {
   places: () => SidePlace[]
-  /** The channel to a side process; opens one where there is none yet. */
+  /** The channel to a side process; starts to open one if there is none. */
   channelTo: (host: string) => Channel | undefined
   log: Log
 }
 
-/** What one side process of a domain has to have. */
-interface Due {
-  news: AttemptReports
+/** Reports that no side process of a domain has acknowledged yet. */
+interface PendingReport {
+  reports: AttemptReports
   domain: string
-  /** The one that is told now. */
+  /** Side process that was tried last. */
   host: string | undefined
-  /** Of the last frame that it was sent. */
+  /** Stamp of the last frame sent to it; `undefined` until its channel is open. */
   stamp: number | undefined
-  triedAt: number
+  attemptedAt: number
   tries: number
 }
 
 export class TryNewsExchange {
-  readonly #due = new Set<Due>()
-  readonly #meeting = new MeetingPlace({ matter: 'crashes', passedByMs, now: nowMs })
-  #gathered: AttemptReports = noReports
-  readonly #gather = new CoalescingTimer(() => this.#tellGathered())
-  /** Runs while something is due. */
-  #check: NodeJS.Timeout | undefined
+  readonly #pending = new Set<PendingReport>()
+  readonly #rendezvous = new MeetingPlace({ matter: 'crashes', passedByMs: skipMs, now: nowMs })
+  /** Reports collected for the next batch. */
+  #batch: AttemptReports = noReports
+  readonly #batchTimer = new CoalescingTimer(() => this.#sendBatch())
+  /** Runs while reports are pending. */
+  #checkTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly options: TryNewsExchangeOptions) {}
 
-  tell (news: AttemptReports): void {
-    if (hasNoReports(news)) return
-    this.#gathered = mergeReports([this.#gathered, news])
-    this.#gather.runWithin(batchDelayMs(news, crashesMs))
+  tell (reports: AttemptReports): void {
+    if (hasNoReports(reports)) return
+    this.#batch = mergeReports([this.#batch, reports])
+    this.#batchTimer.runWithin(batchDelayMs(reports, crashBatchMs))
   }
 
-  /** The side process at `host` has the frame with that stamp. */
+  /** Handles the acknowledgement of the frame with this stamp by the side process at `host`. */
   noted (host: string, stamp: number): void {
-    for (const due of this.#due) if (due.host === host && due.stamp === stamp) this.#due.delete(due)
-    this.#rest()
+    for (const pending of this.#pending) if (pending.host === host && pending.stamp === stamp) this.#pending.delete(pending)
+    this.#stopIfDone()
   }
 
   close (): void {
-    this.#gather.stop()
-    clearInterval(this.#check)
+    this.#batchTimer.stop()
+    clearInterval(this.#checkTimer)
   }
 
-  #tellGathered (): void {
-    const news = this.#gathered
-    this.#gathered = noReports
-    const domains = new Set(this.options.places().map(place => place.domain))
-    for (const domain of domains) this.#begin(news, domain)
+  #sendBatch (): void {
+    const reports = this.#batch
+    this.#batch = noReports
+    const domains = new Set(this.options.places().map(target => target.domain))
+    for (const domain of domains) this.#sendToDomain(reports, domain)
   }
 
-  #begin (news: AttemptReports, domain: string): void {
-    const due: Due = { news, domain, host: undefined, stamp: undefined, triedAt: -Infinity, tries: 0 }
-    this.#due.add(due)
-    this.#tryNext(due)
-    this.#check ??= setInterval(() => this.#checkAll(), checkMs)
+  #sendToDomain (reports: AttemptReports, domain: string): void {
+    const pending: PendingReport = { reports, domain, host: undefined, stamp: undefined, attemptedAt: -Infinity, tries: 0 }
+    this.#pending.add(pending)
+    this.#tryNext(pending)
+    this.#checkTimer ??= setInterval(() => this.#checkPending(), checkIntervalMs)
   }
 
-  #checkAll (): void {
-    for (const due of this.#due) {
-      if (due.stamp === undefined) this.#send(due)
-      if (nowMs() - due.triedAt < answerMs) continue
-      if (due.host !== undefined) this.#meeting.passBy(due.host)
-      this.#tryNext(due)
+  #checkPending (): void {
+    for (const pending of this.#pending) {
+      if (pending.stamp === undefined) this.#send(pending)
+      if (nowMs() - pending.attemptedAt < ackTimeoutMs) continue
+      if (pending.host !== undefined) this.#rendezvous.passBy(pending.host)
+      this.#tryNext(pending)
     }
-    this.#rest()
+    this.#stopIfDone()
   }
 
-  #rest (): void {
-    if (this.#due.size > 0) return
-    clearInterval(this.#check)
-    this.#check = undefined
+  #stopIfDone (): void {
+    if (this.#pending.size > 0) return
+    clearInterval(this.#checkTimer)
+    this.#checkTimer = undefined
   }
 
-  #tryNext (due: Due): void {
-    if (due.tries >= mostTries) {
-      this.#due.delete(due)
-      this.options.log.warn('crashes.not_passed_on', { domain: due.domain, crashes: due.news.crashes.length, sound: due.news.sound.length, limits: due.news.limits.length, tries: due.tries })
+  #tryNext (pending: PendingReport): void {
+    if (pending.tries >= maxAttempts) {
+      this.#pending.delete(pending)
+      this.options.log.warn('crashes.not_passed_on', { domain: pending.domain, crashes: pending.reports.crashes.length, sound: pending.reports.sound.length, limits: pending.reports.limits.length, tries: pending.tries })
       return
     }
-    due.host = this.#choose(due.domain)
-    due.tries += 1
-    due.triedAt = nowMs()
-    due.stamp = undefined
-    this.#send(due)
+    pending.host = this.#chooseHost(pending.domain)
+    pending.tries += 1
+    pending.attemptedAt = nowMs()
+    pending.stamp = undefined
+    this.#send(pending)
   }
 
-  #choose (domain: string): string | undefined {
-    const there = this.options.places().filter(place => place.domain === domain && place.lively)
-    return this.#meeting.choose(there.map(({ host }) => host))
+  #chooseHost (domain: string): string | undefined {
+    const candidates = this.options.places().filter(target => target.domain === domain && target.lively)
+    return this.#rendezvous.choose(candidates.map(({ host }) => host))
   }
 
-  #send (due: Due): void {
-    const channel = due.host === undefined ? undefined : this.options.channelTo(due.host)
+  #send (pending: PendingReport): void {
+    const channel = pending.host === undefined ? undefined : this.options.channelTo(pending.host)
     if (channel === undefined) return
-    for (const frame of reportFrames(due.news)) if (channel.send(frame)) due.stamp = frame.stamp
+    for (const frame of reportFrames(pending.reports)) if (channel.send(frame)) pending.stamp = frame.stamp
   }
 }
--- a/packages/fleet/test/entry-count.test.ts
+++ b/packages/fleet/test/entry-count.test.ts
@@ -1,32 +1,32 @@
 import { countEntries, countWatchers } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
-describe('how many entries there are', () => {
-  const told = (domain: string, entries: number | undefined, strangers = 0): { domain: string, entries: number | undefined, strangers: number } =>
+describe('entry count', () => {
+  const report = (domain: string, entries: number | undefined, strangers = 0): { domain: string, entries: number | undefined, strangers: number } =>
     ({ domain, entries, strangers })
 
-  it('is unknown while nobody has told', () => {
+  it('is unknown until a side process has reported', () => {
     expect(countEntries([])).to.equal(undefined)
-    expect(countEntries([told('a', undefined)])).to.equal(undefined)
+    expect(countEntries([report('a', undefined)])).to.equal(undefined)
   })
 
-  it('is the most that any side process of a domain hears, over all domains', () => {
-    expect(countEntries([told('a', 12), told('a', 13), told('b', 14)])).to.equal(27)
+  it('sums the highest count of each domain', () => {
+    expect(countEntries([report('a', 12), report('a', 13), report('b', 14)])).to.equal(27)
   })
 
-  it('takes a domain that has not told for as large as the largest', () => {
-    expect(countEntries([told('a', 13), told('b', undefined), told('c', undefined)])).to.equal(39)
+  it('counts a domain without a report as large as the largest one', () => {
+    expect(countEntries([report('a', 13), report('b', undefined), report('c', undefined)])).to.equal(39)
   })
 
-  it('has a domain that has told of none count as none', () => {
-    expect(countEntries([told('a', 13), told('b', 0)])).to.equal(13)
+  it('counts a domain that reports no entries as empty', () => {
+    expect(countEntries([report('a', 13), report('b', 0)])).to.equal(13)
   })
 
-  it('includes entries without side processes near, which all tell of, once', () => {
-    expect(countEntries([told('a', 3, 2), told('b', 4, 2)])).to.equal(9)
+  it('includes entries without local side processes, which every side process reports, only once', () => {
+    expect(countEntries([report('a', 3, 2), report('b', 4, 2)])).to.equal(9)
   })
 
-  it('has three of each domain watch the store, and all of a smaller one', () => {
-    expect(countWatchers([told('a', 13), told('b', 2)])).to.equal(5)
+  it('counts three watchers per domain, and every entry of a smaller domain', () => {
+    expect(countWatchers([report('a', 13), report('b', 2)])).to.equal(5)
   })
 })
--- a/packages/fleet/test/quotas.test.ts
+++ b/packages/fleet/test/quotas.test.ts
@@ -12,32 +12,34 @@
 const quota: Quota = { unit: 'tokens', perSecond: 30_000, burst: 30_000, plainTokens: 200 }
 const team = 'red'
 
-/** The most that may be used in any window. */
+/** The most tokens that may be spent in any window. */
 const bound = (quota.perSecond * limits.quotaWindowMs / 1000 + quota.burst) * (1 + limits.quotaOverage) + limits.quotaSlack
 
-/** Entries with accounts, banks, and what was spent when. */
-class Ledger {
+/** Simulates the accounts of entries and the banks, and records what is spent and when. */
+class QuotaSimulation {
   readonly spent: Array<{ tokens: number, at: number }> = []
-  readonly #due: Array<{ at: number, run: () => void }> = []
+  /** Messages in transit, by time of arrival. */
+  readonly #inTransit: Array<{ at: number, run: () => void }> = []
   readonly accounts: TeamAccount[]
   readonly banks = [new QuotaBank(), new QuotaBank()]
-  /** The last bank stamp that each entry had from each bank, in its present life. */
-  readonly #echoes = new Map<string, { stamp: number, cameAt: number }>()
+  /** The last stamp that each entry received from each bank since it started. */
+  readonly #echoes = new Map<string, { stamp: number, receivedAt: number }>()
 
-  constructor (private readonly time: FakeTime, private readonly entries: number, private readonly assumed: number) {
-    this.accounts = Array.from({ length: entries }, () => this.#account())
+  constructor (private readonly time: FakeTime, private readonly entries: number, private readonly assumedEntries: number) {
+    this.accounts = Array.from({ length: entries }, () => this.#createAccount())
   }
 
   pass (ms: number): void {
     const until = nowMs() + ms
-    for (let next = this.#due[0]; next !== undefined && next.at <= until; next = this.#due[0]) {
-      this.#due.shift()
+    for (let next = this.#inTransit[0]; next !== undefined && next.at <= until; next = this.#inTransit[0]) {
+      this.#inTransit.shift()
       this.time.jump(Math.max(0, next.at - nowMs()))
       next.run()
     }
     this.time.jump(Math.max(0, until - nowMs()))
   }
 
+  /** Returns whether the entry had the tokens. */
   spend (entry: number, tokens: number): boolean {
     const account = this.at(entry)
     account.demand(tokens)
@@ -46,29 +48,29 @@
     return true
   }
 
-  /** All that the entry doesn't need for what it asks, as an exchange does it, with the messages that late. */
-  exchange (entry: number, bank: number, there: number, back: number): void {
+  /** Gives an entry's surplus to a bank, or requests what it is short of, as an exchange does. The messages take the given times. */
+  exchange (entry: number, bank: number, requestMs: number, answerMs: number): void {
     const account = this.at(entry)
     const stamp = nowMs()
     const id = `${entry} ${bank}`
     const echo = this.#echoes.get(id)
     const wanted = account.wants()
     const gives = wanted > 0 || echo === undefined ? [] : account.takeSurplus().map((slice: TokenSlice): TokenAge => [team, slice.tokens, stamp - slice.earnedAt])
-    const frame: FrameOf<'quota'> = { type: 'quota', stamp, ...(echo === undefined ? {} : { echo: { stamp: echo.stamp, heldMs: stamp - echo.cameAt } }), gives, wants: wanted > 0 ? [[team, wanted]] : [] }
-    this.#after(there, () => {
-      const life = tokenLifetimeMs(quota, { windowMs: limits.quotaWindowMs, overage: limits.quotaOverage, slack: limits.quotaSlack })
-      const answer = (this.banks[bank] as QuotaBank).exchange(String(entry), frame, () => life)
-      this.#after(back, () => {
-        // A process that has started again has no use for what its former life asked.
+    const frame: FrameOf<'quota'> = { type: 'quota', stamp, ...(echo === undefined ? {} : { echo: { stamp: echo.stamp, heldMs: stamp - echo.receivedAt } }), gives, wants: wanted > 0 ? [[team, wanted]] : [] }
+    this.#after(requestMs, () => {
+      const lifetime = tokenLifetimeMs(quota, { windowMs: limits.quotaWindowMs, overage: limits.quotaOverage, slack: limits.quotaSlack })
+      const answer = (this.banks[bank] as QuotaBank).exchange(String(entry), frame, () => lifetime)
+      this.#after(answerMs, () => {
+        // A restarted entry doesn't receive the answers to its previous incarnation.
         if (this.at(entry) !== account) return
-        this.#echoes.set(id, { stamp: answer.bankStamp, cameAt: nowMs() })
+        this.#echoes.set(id, { stamp: answer.bankStamp, receivedAt: nowMs() })
         account.granted(answer.grants.map(([, tokens, ageMs]) => ({ tokens, earnedAt: answer.stamp - ageMs })))
       })
     })
   }
 
   restart (entry: number): void {
-    this.accounts[entry] = this.#account()
+    this.accounts[entry] = this.#createAccount()
     for (const bank of this.banks.keys()) this.#echoes.delete(`${entry} ${bank}`)
   }
 
@@ -77,9 +79,9 @@
     for (const entry of this.accounts.keys()) this.#echoes.delete(`${entry} ${bank}`)
   }
 
-  /** The most spent in any window. */
-  get most (): number {
-    let most = 0
+  /** The most tokens spent in any window. */
+  get maxSpent (): number {
+    let max = 0
     let sum = 0
     let first = 0
     for (const { tokens, at } of this.spent) {
@@ -88,22 +90,22 @@
         sum -= oldest.tokens
         first += 1
       }
-      most = Math.max(most, sum)
+      max = Math.max(max, sum)
     }
-    return most
+    return max
   }
 
   at (entry: number): TeamAccount {
     return this.accounts[entry % this.entries] as TeamAccount
   }
 
-  #account (): TeamAccount {
-    return new TeamAccount(quota, () => limits, () => this.assumed)
+  #createAccount (): TeamAccount {
+    return new TeamAccount(quota, () => limits, () => this.assumedEntries)
   }
 
   #after (ms: number, run: () => void): void {
-    this.#due.push({ at: nowMs() + ms, run })
-    this.#due.sort((a, b) => a.at - b.at)
+    this.#inTransit.push({ at: nowMs() + ms, run })
+    this.#inTransit.sort((a, b) => a.at - b.at)
   }
 }
 
@@ -118,108 +120,108 @@
   { weight: 1, arbitrary: fc.record({ type: fc.constant('restartBank' as const), bank }) }
 )
 
-describe('quotas over all entries', () => {
+describe('quotas across all entries', () => {
   let time: FakeTime
   beforeEach(() => { time = new FakeTime() })
   afterEach(() => time.restore())
 
   describe('in any window', () => {
-    const play = (ledger: Ledger, steps: Array<typeof step extends fc.Arbitrary<infer Step> ? Step : never>): void => {
+    const run = (simulation: QuotaSimulation, steps: Array<typeof step extends fc.Arbitrary<infer Step> ? Step : never>): void => {
       for (const each of steps) {
-        if (each.type === 'pass') ledger.pass(each.ms)
-        if (each.type === 'exchange') ledger.exchange(each.entry, each.bank, each.there, each.back)
-        if (each.type === 'restart') ledger.restart(each.entry)
-        if (each.type === 'restartBank') ledger.restartBank(each.bank)
-        if (each.type === 'flood') while (ledger.spend(each.entry, each.tokens)) ledger.pass(0)
+        if (each.type === 'pass') simulation.pass(each.ms)
+        if (each.type === 'exchange') simulation.exchange(each.entry, each.bank, each.there, each.back)
+        if (each.type === 'restart') simulation.restart(each.entry)
+        if (each.type === 'restartBank') simulation.restartBank(each.bank)
+        if (each.type === 'flood') while (simulation.spend(each.entry, each.tokens)) simulation.pass(0)
       }
     }
 
-    it('stay under the bound, whatever entries come, go, freeze or do not hear each other', () => {
+    it('stay within the bound, while entries and banks restart, stall or are partitioned', () => {
       fc.assert(fc.property(fc.array(step, { minLength: 40, maxLength: 250 }), steps => {
-        const ledger = new Ledger(time, 6, 6)
-        play(ledger, steps)
-        expect(ledger.most).to.be.at.most(bound)
+        const simulation = new QuotaSimulation(time, 6, 6)
+        run(simulation, steps)
+        expect(simulation.maxSpent).to.be.at.most(bound)
       }), { numRuns: 600 })
     })
 
-    it('stay under it with a tenth more entries than are known', () => {
+    it('stay within the bound with a tenth more entries than are known', () => {
       fc.assert(fc.property(fc.array(step, { minLength: 40, maxLength: 250 }), steps => {
-        const ledger = new Ledger(time, 6, 6 / 1.1)
-        play(ledger, steps)
-        expect(ledger.most).to.be.at.most(bound)
+        const simulation = new QuotaSimulation(time, 6, 6 / 1.1)
+        run(simulation, steps)
+        expect(simulation.maxSpent).to.be.at.most(bound)
       }), { numRuns: 300 })
     })
   })
 
-  describe('of a team whose callers are all at one of 26 entries and ask seven times the quota', () => {
-    /** The part of the quota that is served over a minute; `exchanged`: whether entries exchange tokens. */
-    const served = (exchanged: boolean): number => {
-      const ledger = new Ledger(time, 26, 26)
+  describe('of a team whose callers are all at one of 26 entries and request seven times the quota', () => {
+    /** Share of the quota that is spent in a minute, with or without the exchange of tokens. */
+    const spentShare = (withExchange: boolean): number => {
+      const simulation = new QuotaSimulation(time, 26, 26)
       for (let each = 0; each < 600; each++) {
-        ledger.pass(100)
-        for (let ask = 0; ask < 30; ask++) ledger.spend(3, 700)
-        if (exchanged && each % 3 === 0) for (let other = 0; other < 26; other++) ledger.exchange(other, 0, 1, 1)
+        simulation.pass(100)
+        for (let ask = 0; ask < 30; ask++) simulation.spend(3, 700)
+        if (withExchange && each % 3 === 0) for (let other = 0; other < 26; other++) simulation.exchange(other, 0, 1, 1)
       }
-      expect(ledger.most).to.be.at.most(bound)
-      return ledger.spent.reduce((sum, { tokens }) => sum + tokens, 0) / (60 * quota.perSecond)
+      expect(simulation.maxSpent).to.be.at.most(bound)
+      return simulation.spent.reduce((sum, { tokens }) => sum + tokens, 0) / (60 * quota.perSecond)
     }
 
-    it('an equal share is one part in 26 of it', () => {
-      expect(served(false)).to.be.within(0.03, 0.05)
+    it('provide an equal share of a 26th without the exchange', () => {
+      expect(spentShare(false)).to.be.within(0.03, 0.05)
     })
 
-    it('with tokens exchanged it gets nearly all', () => {
-      expect(served(true)).to.be.within(0.9, 1.05)
+    it('provide nearly the whole quota with the exchange', () => {
+      expect(spentShare(true)).to.be.within(0.9, 1.05)
     })
   })
 
-  describe('of one request', () => {
+  describe('for one request', () => {
     const red = { name: team, keys: [], quota }
-    const brought: number[] = []
-    const quotas = (): Quotas => {
-      const made = new Quotas({
+    const requested: number[] = []
+    const createQuotas = (): Quotas => {
+      const quotas = new Quotas({
         limits: () => limits,
         entries: () => 10,
         bring: async (_team, tokens) => {
-          brought.push(tokens)
+          requested.push(tokens)
           return false
         }
       })
-      made.follow([red])
-      return made
+      quotas.follow([red])
+      return quotas
     }
 
-    it('count the prompt and the most that comes out, or what is set for requests that state none', () => {
+    it('count prompt and maximum answer length, or the default cost for requests that state none', () => {
       expect(costOf(quota, '491,72')).to.equal(563)
       for (const stated of [undefined, '', 'many', '5', '-9,2']) expect(costOf(quota, stated)).to.equal(200)
       expect(costOf({ ...quota, unit: 'requests' }, '491,72')).to.equal(1)
     })
 
-    it('are asked of others once they are used up here, and say when to come back', async () => {
-      const own = quotas()
+    it('are requested from other entries once they are used up here, and return a retry time', async () => {
+      const quotas = createQuotas()
       time.jump(1000)
-      expect(await own.reserve(red, '2900,0')).to.have.property('slices')
-      expect(await own.reserve(red, '2900,0')).to.be.within(100, 1000)
-      expect(brought).to.deep.equal([2900])
+      expect(await quotas.reserve(red, '2900,0')).to.have.property('slices')
+      expect(await quotas.reserve(red, '2900,0')).to.be.within(100, 1000)
+      expect(requested).to.deep.equal([2900])
     })
 
-    it('go back where it was not sent, as old as they were', async () => {
-      const own = quotas()
+    it('are returned if the request is not sent', async () => {
+      const quotas = createQuotas()
       time.jump(1000)
-      const reserved = await own.reserve(red, '2900,0')
+      const reserved = await quotas.reserve(red, '2900,0')
       if (typeof reserved === 'number') throw new Error('it was refused')
-      own.release(reserved)
-      expect(await own.reserve(red, '2900,0')).to.have.property('slices')
+      quotas.release(reserved)
+      expect(await quotas.reserve(red, '2900,0')).to.have.property('slices')
     })
 
-    it('are set aside anew where it waited until they lapsed', async () => {
-      const own = quotas()
+    it('are reserved again if they expired while the request waited', async () => {
+      const quotas = createQuotas()
       time.jump(1000)
-      const reserved = await own.reserve(red, '2900,0')
+      const reserved = await quotas.reserve(red, '2900,0')
       if (typeof reserved === 'number') throw new Error('it was refused')
       time.jump(9000)
-      expect(own.lasts(reserved, red)).to.equal(false)
-      expect(own.spend(reserved)).to.equal(true)
+      expect(quotas.lasts(reserved, red)).to.equal(false)
+      expect(quotas.spend(reserved)).to.equal(true)
     })
   })
 
@@ -231,20 +233,20 @@
 
     beforeEach(() => { bank = new QuotaBank() })
 
-    it('are given to whoever asks while there are enough, whatever others were given before', () => {
+    it('are granted in full while there are enough, whatever other entries got before', () => {
       exchange('giver', [[team, 10_000, 0]], [])
       for (const each of ['a', 'b', 'c']) expect(sumOf(exchange(each, [], [[team, 3000]]))).to.equal(3000)
       expect(sumOf(exchange('d', [], [[team, 900]]))).to.equal(900)
     })
 
-    it('are shared by what each asks and did not get, where there are too few', () => {
+    it('are divided in proportion to unmet requests if there are too few', () => {
       expect(sumOf(exchange('a', [], [[team, 6000]]))).to.equal(0)
       exchange('giver', [[team, 4000, 0]], [])
       expect(sumOf(exchange('b', [], [[team, 2000]]))).to.equal(1000)
       expect(sumOf(exchange('a', [], [[team, 6000]]))).to.be.within(2500, 3000)
     })
 
-    it('lapse, and count as lapsed where it can not be known how long they were under way', () => {
+    it('expire, and count as expired if their transit time is unknown', () => {
       exchange('giver', [[team, 4000, 1500]], [])
       time.jump(600)
       expect(sumOf(exchange('a', [], [[team, 100]]))).to.equal(0)
@@ -253,7 +255,7 @@
     })
   })
 
-  describe('exchanged for requests that wait', () => {
+  describe('requested for waiting requests', () => {
     let quotas: Quotas
     let exchange: QuotaExchange
     let sent: Array<FrameOf<'quota'>>
@@ -268,15 +270,15 @@
       time.jump(1000)
     })
 
-    /** The bank gives all that the last frame asked for, times `part`. */
-    const answer = async (part = 1): Promise<void> => {
+    /** The bank grants this share of the tokens that the last frame requested. */
+    const answer = async (share = 1): Promise<void> => {
       const frame = sent.at(-1)
-      const grants = (frame?.wants ?? []).map(([name, tokens]): TokenAge => [name, tokens * part, 0])
+      const grants = (frame?.wants ?? []).map(([name, tokens]): TokenAge => [name, tokens * share, 0])
       exchange.take('10.0.0.1', channel, { type: 'quota_grant', stamp: frame?.stamp ?? 0, bankStamp: nowMs(), grants, needed: [] })
       await time.settle()
     }
 
-    it('are enough for all that wait, also for one that comes while they are under way', async () => {
+    it('are enough for all of them, including one that arrives while they are in transit', async () => {
       const waiting = [quotas.reserve(red, '900,0'), quotas.reserve(red, '1500,0'), quotas.reserve(red, '1500,0')]
       await time.settle()
       const between = quotas.reserve(red, '200,0')
@@ -284,7 +286,7 @@
       for (const reserved of [...waiting, between]) expect(await reserved).to.have.property('slices')
     })
 
-    it('count as short only where fewer came than were asked for', async () => {
+    it('are requested again at once, unless fewer were granted than requested', async () => {
       const first = quotas.reserve(red, '1500,0')
       await answer()
       expect(await first).to.have.property('slices')
@@ -298,12 +300,12 @@
     })
   })
 
-  describe('exchanged with a bank whose answer lies in the sockets while this process stalls', () => {
+  describe('exchanged with a bank whose answers wait in the socket while this process stalls', () => {
     it('stay with that bank', async () => {
-      const asked: string[] = []
+      const askedHosts: string[] = []
       const sent: Array<FrameOf<'quota'>> = []
       const channelTo = (host: string): Channel => {
-        asked.push(host)
+        askedHosts.push(host)
         return { send: (frame: FrameOf<'quota'>) => { sent.push(frame) } } as unknown as Channel
       }
       const quotas = new Quotas({ limits: () => limits, entries: () => 4, bring: async () => false })
@@ -312,36 +314,36 @@
       const stop = new AbortController()
       void exchange.run(stop.signal)
       await time.pass(300)
-      const [bank] = asked
+      const [bank] = askedHosts
       for (let stall = 0; stall < 4; stall++) {
         time.jump(600)
         const frame = sent.at(-1)
-        setImmediate(() => exchange.take(asked.at(-1) ?? '', channelTo(asked.at(-1) ?? ''), { type: 'quota_grant', stamp: frame?.stamp ?? 0, bankStamp: 0, grants: [], needed: [] }))
+        setImmediate(() => exchange.take(askedHosts.at(-1) ?? '', channelTo(askedHosts.at(-1) ?? ''), { type: 'quota_grant', stamp: frame?.stamp ?? 0, bankStamp: 0, grants: [], needed: [] }))
         await time.settle()
       }
       stop.abort()
-      expect(new Set(asked)).to.deep.equal(new Set([bank]))
+      expect(new Set(askedHosts)).to.deep.equal(new Set([bank]))
       expect(sent.length).to.be.greaterThan(3)
     })
   })
 
-  describe('are divided by the most entries that may exist', () => {
-    it('many while they have not been counted, the most counted of late afterwards', () => {
-      const ceiling = new EntryCeiling()
-      expect(ceiling.of(3, 33)).to.equal(49.5)
+  describe('divided by an upper bound of the number of entries', () => {
+    it('assume many entries until they are counted, and then the highest recent count', () => {
+      const entryBound = new EntryCeiling()
+      expect(entryBound.of(3, 33)).to.equal(49.5)
       time.jump(2000)
-      expect(ceiling.of(26, 33)).to.equal(26)
+      expect(entryBound.of(26, 33)).to.equal(26)
       time.jump(1000)
-      expect(ceiling.of(20, 33)).to.equal(26)
+      expect(entryBound.of(20, 33)).to.equal(26)
       time.jump(14_000)
-      expect(ceiling.of(20, 33)).to.equal(26)
+      expect(entryBound.of(20, 33)).to.equal(26)
       time.jump(16_000)
-      expect(ceiling.of(20, 33)).to.equal(20)
+      expect(entryBound.of(20, 33)).to.equal(20)
     })
   })
 })
 
-describe('quotas in a fleet of real processes', function () {
+describe('quotas in a fleet of processes', function () {
   this.timeout(60_000)
   let fleet: FleetSystem
   let sent = 0
@@ -353,14 +355,14 @@
     })
     await fleet.start()
     fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, { tenants: [{ name: 'red', apiKeys: ['k'], unit: 'tokens', plainTokens: 200, ratePerS: perSecond, burst: perSecond }] }))
-    await eventually('keys are asked for', async () => (await askFleet(fleet, { path: '/once/x', id: `quota-${sent++}` })).status === 401)
+    await eventually('keys are required', async () => (await askFleet(fleet, { path: '/once/x', id: `quota-${sent++}` })).status === 401)
     await pause(3500)
   })
 
   after(async () => { await fleet.stop() })
 
-  /** Asks without pause at one entry; gives the tokens of requests that were served, and the refusals. */
-  const flood = async (ms: number): Promise<{ tokens: number, retryAfter: number[] }> => {
+  /** Sends requests continuously to one entry. Returns the tokens of accepted requests, and the retry times of rejected ones. */
+  const sendFor = async (ms: number): Promise<{ tokens: number, retryAfter: number[] }> => {
     const until = Date.now() + ms
     let tokens = 0
     const retryAfter: number[] = []
@@ -376,18 +378,18 @@
     return { tokens, retryAfter }
   }
 
-  it('a flood at one of four entries gets most of the quota and never more, and is told when to come back', async () => {
+  it('give a team at one of four entries most of the quota and no more, and tell it when to retry', async () => {
     const seconds = 6
-    const { tokens, retryAfter } = await flood(seconds * 1000)
+    const { tokens, retryAfter } = await sendFor(seconds * 1000)
     expect(tokens / (seconds * perSecond)).to.be.within(0.75, 1.3)
     expect(retryAfter.length).to.be.greaterThan(0)
     expect(retryAfter.every(each => each > 0 && each <= 5)).to.equal(true)
   })
 
-  it('without any side process it still has its share', async () => {
+  it('give a team the share of one entry without side processes', async () => {
     for (const side of fleet.sides) await fleet.kill(side)
     await pause(2500)
-    const { tokens } = await flood(4000)
+    const { tokens } = await sendFor(4000)
     expect(tokens / (4 * perSecond)).to.be.within(0.15, 0.45)
     for (const side of fleet.sides) await fleet.startProcess(side)
   })
--- a/packages/fleet/test/replay/limit-replay.ts
+++ b/packages/fleet/test/replay/limit-replay.ts
@@ -1,8 +1,8 @@
 /**
- * A replay of one server that names a limit, and of many entries that exchange their shares of it, on the paused clock.
+ * Simulates a rate-limited server and many entries that exchange their shares of its limit, on a fake clock.
  *
- * Entries are real but for their sockets: frames between them and two banks take the time that is set, or are lost where an entry
- * or a bank is cut off. Requests come at random, as a seed draws them.
+ * The entries run the production code except for sockets: frames between them and two banks take a fixed time, or are lost if
+ * an entry is partitioned or a bank is down. Requests arrive at random times, from a seeded generator.
  */
 import { quietLog } from '@finchpitch/core'
 import { EntryCounters, QuotaBank, QuotaExchange, Quotas, ServerLimits, reportFrames, nowMs, type BackendServer, type AttemptReports } from '@finchpitch/fleet'
@@ -15,16 +15,16 @@
 export interface LimitPattern {
   seed: number
   entries: number
-  /** Requests a second that would go to the server, at each entry. */
+  /** Requests per second at each entry that select the server. */
   demand: (entry: number) => number
-  /** How many entries are thought to exist at most; as many as there are by default. */
+  /** Upper bound of the number of entries that the entries assume; by default their actual number. */
   assumed?: number
-  /** One way between an entry and a bank, and with which news go from one entry to another. */
+  /** One-way delay between an entry and a bank, and of reports from one entry to another. */
   wayMs?: number
 }
 
-/** How long the server takes to begin its answer. */
-const answerMs = 20
+/** Time until the server starts its response. */
+const responseMs = 20
 const stepMs = 10
 const bankHosts = ['10.0.0.1', '10.0.0.2']
 
@@ -32,14 +32,14 @@
 export interface Arrival {
   at: number
   entry: number
-  /** Since when its entry's present life had passed on an answer that named a limit; `undefined` where it had not. */
+  /** When its entry first reported a limit since it started; `undefined` if it has reported none. */
   toldAt: number | undefined
 }
 
-interface Player {
+interface SimulatedEntry {
   limits: ServerLimits
   exchange: QuotaExchange
-  /** Neither banks nor other entries hear it, nor it them. */
+  /** Partitioned from the banks and from all other entries. */
   cut: boolean
   toldAt: number | undefined
   stop: AbortController
@@ -47,17 +47,17 @@
 
 export class LimitReplay {
   readonly arrivals: Arrival[] = []
-  readonly entries: Player[]
+  readonly entries: SimulatedEntry[]
   perSecond = Infinity
   bornAt = 1
   readonly #banks = new Map(bankHosts.map(host => [host, new QuotaBank()]))
   readonly #random: RandomGenerator
-  readonly #wayMs: number
+  readonly #oneWayMs: number
 
   constructor (private readonly time: FakeTime, private readonly pattern: LimitPattern) {
     this.#random = xoroshiro128plus(pattern.seed)
-    this.#wayMs = pattern.wayMs ?? 3
-    this.entries = Array.from({ length: pattern.entries }, (_, entry) => this.#begin(entry))
+    this.#oneWayMs = pattern.wayMs ?? 3
+    this.entries = Array.from({ length: pattern.entries }, (_, entry) => this.#startEntry(entry))
   }
 
   async play (ms: number): Promise<void> {
@@ -68,61 +68,61 @@
     }
   }
 
-  /** A request that would go to the server; says whether it does. */
+  /** Processes a request that selects the server. Returns whether it was sent. */
   async ask (entry: number): Promise<boolean> {
-    const player = this.entries[entry]
-    if (player === undefined) return false
-    const { limits } = player
+    const simulated = this.entries[entry]
+    if (simulated === undefined) return false
+    const { limits } = simulated
     const server = this.server
     await limits.bring(server)
     if (limits.state(server)?.ready === false) return false
     const pass = limits.pass(server)
     if (pass === undefined) return false
     const sentAt = nowMs()
-    this.arrivals.push({ at: sentAt, entry, toldAt: player.toldAt })
-    const said = this.perSecond
+    this.arrivals.push({ at: sentAt, entry, toldAt: simulated.toldAt })
+    const advertised = this.perSecond
     setTimeout(() => {
-      if (said !== Infinity) player.toldAt ??= nowMs()
-      if (this.entries[entry] === player) limits.heard(server, said, sentAt, 'r')
-    }, answerMs)
+      if (advertised !== Infinity) simulated.toldAt ??= nowMs()
+      if (this.entries[entry] === simulated) limits.heard(server, advertised, sentAt, 'r')
+    }, responseMs)
     return true
   }
 
-  /** The entry is cut off from banks and other entries, or is not any more. */
-  setCut (entry: number, cut: boolean): void {
-    const player = this.entries[entry % this.entries.length]
-    if (player !== undefined) player.cut = cut
+  /** Partitions the entry from banks and other entries, or ends that. */
+  setCut (entry: number, partitioned: boolean): void {
+    const simulated = this.entries[entry % this.entries.length]
+    if (simulated !== undefined) simulated.cut = partitioned
   }
 
-  /** A bank that ends has nothing when it is back. */
+  /** Stops or starts a bank. It is empty after a start. */
   setBank (bank: number, up: boolean): void {
     const host = bankHosts[bank] ?? ''
     if (!up) this.#banks.delete(host)
     else if (!this.#banks.has(host)) this.#banks.set(host, new QuotaBank())
   }
 
-  /** It knows nothing of its former life. */
+  /** Restarts the entry, which keeps no state. */
   restart (entry: number): void {
     this.entries[entry]?.stop.abort()
-    this.entries[entry] = this.#begin(entry)
+    this.entries[entry] = this.#startEntry(entry)
   }
 
   stop (): void {
     for (const { stop } of this.entries) stop.abort()
   }
 
-  /** The most requests that came in any such time, of those that `counts`. */
+  /** The highest number of requests in any window of this length, of those selected by `counts`. */
   most (windowMs: number, counts: (arrival: Arrival) => boolean): number {
     return Math.max(0, ...this.windows(windowMs, counts).map(({ requests }) => requests))
   }
 
-  /** Each time of that length that begins with a request, and how many came in it. */
+  /** Every window of this length that starts with a request, and the number of requests in it. */
   windows (windowMs: number, counts: (arrival: Arrival) => boolean): Array<{ from: number, requests: number }> {
     const times = this.arrivals.filter(counts).map(({ at }) => at)
-    let after = 0
+    let end = 0
     return times.map((from, first) => {
-      while (after < times.length && (times[after] ?? 0) - from < windowMs) after += 1
-      return { from, requests: after - first }
+      while (end < times.length && (times[end] ?? 0) - from < windowMs) end += 1
+      return { from, requests: end - first }
     })
   }
 
@@ -130,10 +130,10 @@
     return { id: 'engine-1', bornAt: this.bornAt, service: 'engines', address: '10.0.1.1:80', domain: 'a', slots: 32, leaving: false, models: [] }
   }
 
-  #begin (entry: number): Player {
+  #startEntry (entry: number): SimulatedEntry {
     const entries = (): number => this.pattern.assumed ?? this.pattern.entries
-    const limits = new ServerLimits({ entries, exchange: { tell: news => this.#tell(entry, news) }, exchanged: async () => await player.exchange.exchanged(), waiting: () => 0, changed: () => {}, counters: new EntryCounters(), log: quietLog })
-    const channels = new Map(bankHosts.map(host => [host, this.#channel(entry, host)]))
+    const limits = new ServerLimits({ entries, exchange: { tell: reports => this.#report(entry, reports) }, exchanged: async () => await simulated.exchange.exchanged(), waiting: () => 0, changed: () => {}, counters: new EntryCounters(), log: quietLog })
+    const channels = new Map(bankHosts.map(host => [host, this.#createChannel(entry, host)]))
     const exchange = new QuotaExchange({
       quotas: new Quotas({ limits: () => { throw new Error('no team has a quota') }, entries, bring: async () => false }),
       serverLimits: limits,
@@ -141,33 +141,34 @@
       channelTo: host => channels.get(host),
       log: quietLog
     })
-    const player: Player = { limits, exchange, cut: false, toldAt: undefined, stop: new AbortController() }
-    void exchange.run(player.stop.signal)
-    return player
+    const simulated: SimulatedEntry = { limits, exchange, cut: false, toldAt: undefined, stop: new AbortController() }
+    void exchange.run(simulated.stop.signal)
+    return simulated
   }
 
-  #tell (from: number, news: AttemptReports): void {
-    const frames = reportFrames(news)
-    this.#later(from, () => {
-      for (const [entry, { limits, cut }] of this.entries.entries()) if (entry !== from && !cut) for (const frame of frames) limits.take(frame, 'a side process')
+  /** Sends reports of one entry to all others. */
+  #report (from: number, reports: AttemptReports): void {
+    const frames = reportFrames(reports)
+    this.#deliver(from, () => {
+      for (const [entry, { limits, cut: partitioned }] of this.entries.entries()) if (entry !== from && !partitioned) for (const frame of frames) limits.take(frame, 'a side process')
     })
   }
 
-  /** What is under way as either end is cut off does not arrive. */
-  #later (entry: number, act: () => void): void {
-    const player = this.entries[entry]
-    if (player?.cut === true) return
-    setTimeout(() => { if (this.entries[entry] === player && player?.cut !== true) act() }, this.#wayMs)
+  /** Runs the action after the one-way delay, unless the entry is partitioned or restarted by then. */
+  #deliver (entry: number, action: () => void): void {
+    const simulated = this.entries[entry]
+    if (simulated?.cut === true) return
+    setTimeout(() => { if (this.entries[entry] === simulated && simulated?.cut !== true) action() }, this.#oneWayMs)
   }
 
-  #channel (entry: number, host: string): Channel {
+  #createChannel (entry: number, host: string): Channel {
     const channel = {
       send: (frame: FrameOf<'quota'>): boolean => {
-        this.#later(entry, () => {
+        this.#deliver(entry, () => {
           const bank = this.#banks.get(host)
           if (bank === undefined) return
           const grant = bank.exchange(`entry-${entry}`, frame, () => undefined)
-          this.#later(entry, () => this.entries[entry]?.exchange.take(host, channel, grant))
+          this.#deliver(entry, () => this.entries[entry]?.exchange.take(host, channel, grant))
         })
         return true
       }
--- a/packages/fleet/test/replay/probe-replay.ts
+++ b/packages/fleet/test/replay/probe-replay.ts
@@ -1,23 +1,23 @@
 /**
- * A replay of one request that comes at many entries, and ends its servers or does not, on the paused clock.
+ * Simulates many copies of one request at many entries, on a fake clock. The request may crash the servers that run it.
  *
- * Entries and the side processes that they meet at are real but for their sockets: frames take some ms, or are lost where a process
- * is cut off or has ended.
+ * Entries and side processes run the production code except for sockets: frames take a few ms, or are lost if a process is
+ * isolated or stopped.
  */
 import { quietLog } from '@finchpitch/core'
 import { AttemptReportRelay, Crashes, EntryCounters, ProbeExchange, RequestCrashes, ServerLiveness, reportFrames, nowMs, type BackendServer, type AttemptReports, type Facts, type IncomingRequest } from '@finchpitch/fleet'
 import type { FakeTime } from '@finchpitch/stand-ins'
 import type { Channel, Frame } from '@finchpitch/wire'
 
-const wayMs = 3
-/** A server ends so long after it began to run the request; one that does not end has answered by then. */
+const oneWayMs = 3
+/** Time from the start of a run until the server crashes or has responded. */
 const runMs = 120
 const hosts = ['10.0.0.1', '10.0.0.2', '10.0.0.3']
 
-interface Player {
+interface SimulatedEntry {
   crashes: Crashes
   probes: ProbeExchange
-  /** Nobody hears it, nor it anybody. */
+  /** Cut off from all side processes. */
   deaf: boolean
 }
 
@@ -28,21 +28,23 @@
 
 export class ProbeReplay {
   readonly sendings: Sending[] = []
+  /** Number of copies that were not sent. */
   refused = 0
-  /** When servers ended. */
+  /** Times of server crashes. */
   readonly ends: number[] = []
+  /** Whether the request crashes its servers. */
   fatal = true
-  /** Called with the entry that has just sent it. */
+  /** Called with the entry for each copy that is sent. */
   sent: (entry: number) => void = () => {}
-  readonly entries: Player[]
+  readonly entries: SimulatedEntry[]
   readonly #relays = new Map<string, AttemptReportRelay>()
   readonly #channels: Array<Map<string, Channel>>
   #copies = 0
 
   constructor (private readonly time: FakeTime, count: number) {
-    this.#channels = Array.from({ length: count }, (_, entry) => new Map(hosts.map(host => [host, this.#toEntry(entry, host)])))
+    this.#channels = Array.from({ length: count }, (_, entry) => new Map(hosts.map(host => [host, this.#channelToEntry(entry, host)])))
     for (const host of hosts) this.startRelay(host)
-    this.entries = Array.from({ length: count }, (_, entry) => this.#begin(entry))
+    this.entries = Array.from({ length: count }, (_, entry) => this.#startEntry(entry))
   }
 
   startRelay (host: string): void {
@@ -55,11 +57,11 @@
     this.#relays.delete(host)
   }
 
-  /** Copies come at all entries by turns. */
+  /** Sends copies to the entries in turn. */
   async play (ms: number, perSecond: number): Promise<void> {
     const until = nowMs() + ms
     while (nowMs() < until) {
-      void this.#copy(this.#copies % this.entries.length)
+      void this.#sendCopy(this.#copies % this.entries.length)
       this.#copies += 1
       await this.time.pass(1000 / perSecond)
     }
@@ -69,10 +71,10 @@
     for (const host of [...this.#relays.keys()]) this.endRelay(host)
   }
 
-  async #copy (entry: number): Promise<void> {
-    const player = this.entries[entry]
-    if (player === undefined) return
-    const request = new RequestCrashes(player.crashes, { id: `r${this.#copies}`, host: 'h', message: { method: 'GET', url: '/' } } as unknown as IncomingRequest)
+  async #sendCopy (entry: number): Promise<void> {
+    const simulated = this.entries[entry]
+    if (simulated === undefined) return
+    const request = new RequestCrashes(simulated.crashes, { id: `r${this.#copies}`, host: 'h', message: { method: 'GET', url: '/' } } as unknown as IncomingRequest)
     if (request.quarantine(undefined) !== undefined || !await request.mayRun(undefined) || !request.spend(undefined)) {
       this.refused += 1
       return
@@ -83,19 +85,19 @@
     this.sent(entry)
     setTimeout(() => {
       if (this.fatal) this.ends.push(nowMs())
-      if (player.deaf) return
+      if (simulated.deaf) return
       if (this.fatal) request.brokeOff(server, sentAt, undefined)
       else request.completed(undefined)
     }, runMs)
   }
 
-  #begin (entry: number): Player {
-    const probes = new ProbeExchange({ hosts: () => hosts, channelTo: host => this.#toRelay(entry, host), log: quietLog })
+  #startEntry (entry: number): SimulatedEntry {
+    const probes = new ProbeExchange({ hosts: () => hosts, channelTo: host => this.#channelToRelay(entry, host), log: quietLog })
     const facts = { servers: { get: () => ({ leaving: false }) }, onChange: () => {} } as unknown as Facts
     const crashes = new Crashes({
       facts,
       ends: new ServerLiveness(async () => true),
-      exchange: { tell: news => this.#tell(entry, news) },
+      exchange: { tell: reports => this.#report(entry, reports) },
       askProbe: async fingerprint => await probes.ask(fingerprint),
       quarantined: () => {},
       counters: new EntryCounters(),
@@ -104,30 +106,30 @@
     return { crashes, probes, deaf: false }
   }
 
-  #tell (entry: number, news: AttemptReports): void {
-    for (const frame of reportFrames(news)) for (const host of hosts) this.#toRelay(entry, host).send(frame)
+  #report (entry: number, reports: AttemptReports): void {
+    for (const frame of reportFrames(reports)) for (const host of hosts) this.#channelToRelay(entry, host).send(frame)
   }
 
-  #later (entry: number, act: () => void): void {
+  #deliver (entry: number, action: () => void): void {
     if (this.entries[entry]?.deaf === true) return
-    setTimeout(() => { if (this.entries[entry]?.deaf === false) act() }, wayMs)
+    setTimeout(() => { if (this.entries[entry]?.deaf === false) action() }, oneWayMs)
   }
 
-  #toRelay (entry: number, host: string): Channel {
+  #channelToRelay (entry: number, host: string): Channel {
     const send = (frame: Frame): boolean => {
-      const back = this.#channels[entry]?.get(host)
-      this.#later(entry, () => { if (frame.type === 'crashes' && back !== undefined) this.#relays.get(host)?.handleReport(back, frame) })
+      const replyChannel = this.#channels[entry]?.get(host)
+      this.#deliver(entry, () => { if (frame.type === 'crashes' && replyChannel !== undefined) this.#relays.get(host)?.handleReport(replyChannel, frame) })
       return true
     }
     return { send } as unknown as Channel
   }
 
-  #toEntry (entry: number, host: string): Channel {
+  #channelToEntry (entry: number, host: string): Channel {
     const send = (frame: Frame): boolean => {
-      this.#later(entry, () => {
-        const player = this.entries[entry]
-        if (frame.type === 'crashes') player?.crashes.take(frame, host)
-        if (frame.type === 'crashes_noted') player?.probes.noted(host, frame.stamp, frame.granted === true)
+      this.#deliver(entry, () => {
+        const simulated = this.entries[entry]
+        if (frame.type === 'crashes') simulated?.crashes.take(frame, host)
+        if (frame.type === 'crashes_noted') simulated?.probes.noted(host, frame.stamp, frame.granted === true)
       })
       return true
     }
