--- a/packages/fleet/src/entry/entry.ts
+++ b/packages/fleet/src/entry/entry.ts
@@ -1,7 +1,8 @@
 /**
- * The fleet's entry: takes callers' requests and relays them to backend servers.
+ * The entry process of a fleet: accepts callers' requests and forwards them to backend servers.
  *
- * It keeps nothing over a restart: facts come from the store or from peers, holdings from side processes.
+ * This class wires the parts together, runs the periodic tasks and carries out the planned stop. No state survives a restart:
+ * facts come from the store or from peers, and the state of engines comes from side processes.
  */
 import { setMaxListeners } from 'node:events'
 import { createServer, type Server } from 'node:http'
@@ -40,23 +41,26 @@
 import { TableConfirmation } from './table-confirmation.js'
 import { RequestQueue } from './request-queue.js'
 
-/** How often it looks at what lapses, at its duty and at how many entries there are. */
-const sweepMs = 200
-/** In a planned stop, how often it looks whether everything has ended. */
-const stopCheckMs = 60
-/** Over what callers may send; the configuration's own limit is far lower. */
-const mostHeaderBytes = 65_536
-/** Beyond the rest that callers may take up a connection after. */
-const idleSlackMs = 2000
-/** A new entry has the routing table within some 0.2 s, where there is one to be had. */
-const learningMs = 500
-const seedSpan = { firstMs: 200, limitMs: 2000 }
-/** How often it is looked at whether another entry is still needed to learn from. */
-const seedCheckMs = 1000
-/** The balancer asks each second and takes an entry out after two refusals; then no new connections come. */
-const noticeMs = 2600
-/** Left of the time until the kill, for the process to end by itself. */
-const exitMs = 700
+/** Interval of expiring state and updating the watch duty and the number of entries. */
+const sweepIntervalMs = 200
+/** During a planned stop, the interval of closing idle connections and of checking whether all requests have ended. */
+const drainCheckIntervalMs = 60
+/** Node's limit, above what callers may send; the limit in the configuration is far lower. */
+const maxHeaderBytes = 65_536
+/** Idle connections are kept open this much longer than callers may reuse them. */
+const keepAliveSlackMs = 2000
+/** How long loading the routing table may take after a start. It takes some 0.2 s if the store or a peer has a table. */
+const startupMs = 500
+const seedBackoff = { firstMs: 200, limitMs: 2000 }
+/** Interval of checking whether a connection to another entry is still needed. */
+const seedCheckIntervalMs = 1000
+/**
+ * Time for the load balancer to stop assigning new connections: it checks readiness every second and removes an entry after two
+ * failed checks.
+ */
+const readinessNoticeMs = 2600
+/** Reserved at the end of the grace period, so that the process can exit before it is killed. */
+const exitReserveMs = 700
 
 export interface FleetEntryOptions {
   process: string
@@ -77,52 +81,52 @@
   readonly counters = new EntryCounters()
   readonly server: Server
   readonly #balancer: Balancer
-  readonly #links: SideLinks
-  readonly #watch: StoreWatch
-  readonly #room = new RequestQueue()
-  readonly #connections: CallerConnections
-  readonly #budget: RetryBudget
-  readonly #connects = new ConnectTimeout()
-  readonly #firstTries = new FirstAttemptEstimator()
-  readonly #lease: KeyLease
+  readonly #sideLinks: SideLinks
+  readonly #storeWatch: StoreWatch
+  readonly #queue = new RequestQueue()
+  readonly #callerConnections: CallerConnections
+  readonly #retryBudget: RetryBudget
+  readonly #connectTimeout = new ConnectTimeout()
+  readonly #firstAttempts = new FirstAttemptEstimator()
+  readonly #keyLease: KeyLease
   readonly #leaseKeeper: LeaseKeeper
-  readonly #confirmation: TableConfirmation
-  readonly #ceiling = new EntryCeiling()
-  /** The most entries that may exist, as last looked at. */
-  #mostEntries: number
+  readonly #tableConfirmation: TableConfirmation
+  readonly #entryCeiling = new EntryCeiling()
+  /** Upper bound of the number of entries, as of the last sweep. */
+  #maxEntries: number
   readonly #quotas: Quotas
   readonly #quotaExchange: QuotaExchange
-  /** Other entries are needed to learn from. */
-  readonly #seedTurn = new DutySwitch()
-  readonly #faults: ServerFaults
+  /** Whether connections to other entries are needed to receive facts. */
+  readonly #seedDuty = new DutySwitch()
+  readonly #serverFaults: ServerFaults
   readonly #serverLimits: ServerLimits
-  readonly #words: ServerFeedbackHandler
+  readonly #feedbackHandler: ServerFeedbackHandler
   readonly #crashes: Crashes
-  readonly #tryNews: TryNewsExchange
+  readonly #attemptReports: TryNewsExchange
   readonly #probes: ProbeExchange
   readonly #stop = new AbortController()
   readonly #startedAt = nowMs()
-  #closing = false
-  /** No longer listening; what still comes does so on connections that were open. */
-  #closed = false
+  #stopping = false
+  /** Whether the server no longer listens. Requests may still arrive on connections that are open. */
+  #stoppedListening = false
   #running = 0
 
   constructor (private readonly options: FleetEntryOptions) {
     const { facts, domain, limits, log, process, sidePort, channel, dial, sources } = options
-    this.#lease = new KeyLease(facts, limits)
-    this.#mostEntries = this.#ceiling.of(undefined, 0)
-    this.#tryNews = new TryNewsExchange({ places: () => this.#links.places, channelTo: host => this.#links.channelTo(host), log })
+    this.#keyLease = new KeyLease(facts, limits)
+    this.#maxEntries = this.#entryCeiling.of(undefined, 0)
+    this.#attemptReports = new TryNewsExchange({ places: () => this.#sideLinks.places, channelTo: host => this.#sideLinks.channelTo(host), log })
     this.#serverLimits = new ServerLimits({
-      entries: () => this.#mostEntries,
-      exchange: this.#tryNews,
+      entries: () => this.#maxEntries,
+      exchange: this.#attemptReports,
       exchanged: async () => await this.#quotaExchange.exchanged(),
-      waiting: service => this.#room.limitedAhead(service, Infinity),
-      changed: () => this.#room.scheduleScan(),
+      waiting: service => this.#queue.limitedAhead(service, Infinity),
+      changed: () => this.#queue.scheduleScan(),
       counters: this.counters,
       log
     })
-    this.#balancer = new Balancer(facts, domain, limits, () => this.#links, log, () => this.#links.entries ?? 1, this.#serverLimits)
-    this.#links = new SideLinks({
+    this.#balancer = new Balancer(facts, domain, limits, () => this.#sideLinks, log, () => this.#sideLinks.entries ?? 1, this.#serverLimits)
+    this.#sideLinks = new SideLinks({
       process,
       domain,
       facts,
@@ -131,58 +135,58 @@
       channel,
       dial,
       log,
-      watching: () => this.#watch.watching,
-      prove: () => this.#watch.prove(),
-      changed: keys => this.#room.scheduleScan(keys),
+      watching: () => this.#storeWatch.watching,
+      prove: () => this.#storeWatch.prove(),
+      changed: keys => this.#queue.scheduleScan(keys),
       granted: (host, channel, frame) => this.#quotaExchange.take(host, channel, frame),
       crashes: (frame, from) => {
         this.#crashes.take(frame, from)
         this.#serverLimits.take(frame, from)
       },
       crashesNoted: (host, stamp, granted) => {
-        this.#tryNews.noted(host, stamp)
+        this.#attemptReports.noted(host, stamp)
         this.#probes.noted(host, stamp, granted)
       },
       joinedNear: side => {
         this.#crashes.greet(side)
         this.#serverLimits.greet(side)
       },
-      appointmentsChanged: () => this.#watch.check()
+      appointmentsChanged: () => this.#storeWatch.check()
     })
-    this.#watch = new StoreWatch({
+    this.#storeWatch = new StoreWatch({
       sources,
       facts,
       log,
-      restMs: kind => this.#restMs(kind),
-      unproven: () => this.#lease.watchDue,
-      appointments: () => this.#links.appointments,
-      changed: () => this.#links.watchingChanged()
+      restMs: kind => this.#watchPauseMs(kind),
+      unproven: () => this.#keyLease.watchDue,
+      appointments: () => this.#sideLinks.appointments,
+      changed: () => this.#sideLinks.watchingChanged()
     })
-    this.#quotas = new Quotas({ limits, entries: () => this.#mostEntries, bring: (team, tokens) => this.#quotaExchange.bring(team, tokens) })
-    this.#quotaExchange = new QuotaExchange({ quotas: this.#quotas, serverLimits: this.#serverLimits, hosts: () => this.#links.hosts, channelTo: host => this.#links.channelTo(host), log })
-    this.#leaseKeeper = new LeaseKeeper({ lease: this.#lease, facts, links: this.#links, watch: this.#watch, log })
-    this.#confirmation = new TableConfirmation({ facts, limits, links: this.#links, watch: this.#watch })
-    this.#words = new ServerFeedbackHandler({ facts, balancer: this.#balancer, queue: this.#room, serverLimits: this.#serverLimits })
-    this.#faults = new ServerFaults(this.#balancer, this.counters, log)
-    this.#probes = new ProbeExchange({ hosts: () => this.#links.hosts, channelTo: host => this.#links.channelTo(host), log })
-    this.#crashes = new Crashes({ facts, ends: new ServerLiveness(), exchange: this.#tryNews, askProbe: async fingerprint => await this.#probes.ask(fingerprint), quarantined: () => this.#room.scheduleScan(), counters: this.counters, log })
-    this.#budget = new RetryBudget(limits, () => this.#links.entries)
-    this.server = createServer({ maxHeaderSize: mostHeaderBytes, connectionsCheckingInterval: 1000, requestTimeout: 0 })
-    this.#connections = new CallerConnections(this.server)
+    this.#quotas = new Quotas({ limits, entries: () => this.#maxEntries, bring: (team, tokens) => this.#quotaExchange.bring(team, tokens) })
+    this.#quotaExchange = new QuotaExchange({ quotas: this.#quotas, serverLimits: this.#serverLimits, hosts: () => this.#sideLinks.hosts, channelTo: host => this.#sideLinks.channelTo(host), log })
+    this.#leaseKeeper = new LeaseKeeper({ lease: this.#keyLease, facts, links: this.#sideLinks, watch: this.#storeWatch, log })
+    this.#tableConfirmation = new TableConfirmation({ facts, limits, links: this.#sideLinks, watch: this.#storeWatch })
+    this.#feedbackHandler = new ServerFeedbackHandler({ facts, balancer: this.#balancer, queue: this.#queue, serverLimits: this.#serverLimits })
+    this.#serverFaults = new ServerFaults(this.#balancer, this.counters, log)
+    this.#probes = new ProbeExchange({ hosts: () => this.#sideLinks.hosts, channelTo: host => this.#sideLinks.channelTo(host), log })
+    this.#crashes = new Crashes({ facts, ends: new ServerLiveness(), exchange: this.#attemptReports, askProbe: async fingerprint => await this.#probes.ask(fingerprint), quarantined: () => this.#queue.scheduleScan(), counters: this.counters, log })
+    this.#retryBudget = new RetryBudget(limits, () => this.#sideLinks.entries)
+    this.server = createServer({ maxHeaderSize: maxHeaderBytes, connectionsCheckingInterval: 1000, requestTimeout: 0 })
+    this.#callerConnections = new CallerConnections(this.server)
     this.server.on('request', (request, response) => { void this.#serve(request, response) })
     this.counters.gauge('finchpitch_requests_running', 'Requests in progress.', () => this.#running)
-    this.counters.gauge('finchpitch_requests_waiting', 'Requests waiting at the entry.', () => this.#room.size)
-    this.counters.gauge('finchpitch_servers_resting', 'Backend servers that have asked this entry for rest.', () => this.#balancer.serversInBackoff)
-    this.counters.gauge('finchpitch_servers_limited', 'Backend servers that name how many requests they take.', () => this.#serverLimits.size)
-    this.counters.gauge('finchpitch_side_processes_connected', 'Side processes connected.', () => this.#links.connected)
-    this.counters.gauge('finchpitch_store_watched', 'Whether this entry watches the platform\'s store.', () => Number(this.#watch.watching))
-    this.counters.gauge('finchpitch_routing_table_version', 'Version of the routing table in force.', () => facts.routes?.table.version ?? 0)
-    this.counters.gauge('finchpitch_table_proof_age_seconds', 'Since the routing table was last surely the newest; 0 where nothing was proved.', () => Number.isFinite(facts.freshness.ageMs) ? facts.freshness.ageMs / 1000 : 0)
-    this.counters.gauge('finchpitch_entries_assumed', 'The most entries that may exist, by which quotas are divided.', () => this.#mostEntries)
+    this.counters.gauge('finchpitch_requests_waiting', 'Requests waiting at the entry.', () => this.#queue.size)
+    this.counters.gauge('finchpitch_servers_resting', 'Backend servers that asked this entry to back off.', () => this.#balancer.serversInBackoff)
+    this.counters.gauge('finchpitch_servers_limited', 'Backend servers that advertise a rate limit.', () => this.#serverLimits.size)
+    this.counters.gauge('finchpitch_side_processes_connected', 'Side processes connected.', () => this.#sideLinks.connected)
+    this.counters.gauge('finchpitch_store_watched', 'Whether this entry watches the platform\'s store.', () => Number(this.#storeWatch.watching))
+    this.counters.gauge('finchpitch_routing_table_version', 'Version of the current routing table.', () => facts.routes?.table.version ?? 0)
+    this.counters.gauge('finchpitch_table_proof_age_seconds', 'Age in seconds of the last proof that the routing table is current; 0 if there is none.', () => Number.isFinite(facts.freshness.ageMs) ? facts.freshness.ageMs / 1000 : 0)
+    this.counters.gauge('finchpitch_entries_assumed', 'Upper bound of the number of entries, by which quotas are divided.', () => this.#maxEntries)
     facts.onChange(fact => {
       if (fact.kind === 'server') this.#reconcile()
       if (fact.kind === 'table') this.#applyTable()
-      this.#room.scheduleScan()
+      this.#queue.scheduleScan()
     })
   }
 
@@ -190,62 +194,62 @@
     return this.#running
   }
 
-  /** How long a server whose entry vanished stays in reserve. */
+  /** How long a server whose store entry vanished is kept as a fallback. */
   get reserveMs (): number {
-    return fallbackRetentionMs(this.#restMs('server'), this.options.limits().drainMs)
+    return fallbackRetentionMs(this.#watchPauseMs('server'), this.options.limits().drainMs)
   }
 
-  /** Why it should not be sent callers; `undefined` when it should. */
+  /** Why this process is not ready for callers; `undefined` if it is. */
   get unready (): string | undefined {
-    if (this.#closing) return 'stopping'
+    if (this.#stopping) return 'stopping'
     if (this.options.facts.routes === undefined) return 'no routing table yet'
-    if (!this.#lease.held) return 'keys are not confirmed'
+    if (!this.#keyLease.held) return 'keys are not confirmed'
     return this.options.facts.servers.size === 0 ? 'no backend servers yet' : undefined
   }
 
   run (): void {
     const { signal } = this.#stop
-    // One for each task; there is no leak to be warned of.
+    // Each task adds a listener; Node would warn of a leak.
     setMaxListeners(0, signal)
-    this.#watch.run(signal)
+    this.#storeWatch.run(signal)
     void this.#quotaExchange.run(signal)
-    for (const seed of this.options.seeds()) void this.#keepSeed(seed)
-    void this.#links.tend(signal)
+    for (const seed of this.options.seeds()) void this.#keepSeedConnection(seed)
+    void this.#sideLinks.tend(signal)
     void this.#sweep()
   }
 
-  /** Another entry's connection, to its end. */
+  /** Serves a connection from another entry until it ends. */
   async accept (stream: Duplex): Promise<void> {
-    await this.#exchange(stream)
+    await this.#exchangeFacts(stream)
   }
 
-  /** Ends whole what is in progress. Resolves when nothing is left, or just before the kill. */
+  /** Planned stop: lets the requests in progress finish. Resolves when none is left, or shortly before the process is killed. */
   async close (): Promise<void> {
-    const started = performance.now()
+    const startedAt = performance.now()
     const { graceMs } = this.options.limits()
-    this.#closing = true
-    this.options.log.info('entry.stopping', { running: this.#running, waiting: this.#room.size })
-    await pause(Math.min(noticeMs, graceMs / 2))
-    // From here on callers meet a closed connection, which tells them that nothing was read, and go elsewhere.
+    this.#stopping = true
+    this.options.log.info('entry.stopping', { running: this.#running, waiting: this.#queue.size })
+    await pause(Math.min(readinessNoticeMs, graceMs / 2))
+    // From here on callers find their connection closed or refused. This tells them that nothing was read, so they go to another entry.
     this.server.close()
-    this.#closed = true
-    const sweep = setInterval(() => this.server.closeIdleConnections(), stopCheckMs)
-    while (this.#running > 0 && performance.now() - started < graceMs - exitMs) await pause(stopCheckMs)
-    this.options.log.info('entry.stopped', { running: this.#running, ms: Math.round(performance.now() - started) })
-    clearInterval(sweep)
+    this.#stoppedListening = true
+    const idleSweep = setInterval(() => this.server.closeIdleConnections(), drainCheckIntervalMs)
+    while (this.#running > 0 && performance.now() - startedAt < graceMs - exitReserveMs) await pause(drainCheckIntervalMs)
+    this.options.log.info('entry.stopped', { running: this.#running, ms: Math.round(performance.now() - startedAt) })
+    clearInterval(idleSweep)
     this.#stop.abort()
-    this.#tryNews.close()
-    this.#links.close()
+    this.#attemptReports.close()
+    this.#sideLinks.close()
   }
 
   async #serve (request: import('node:http').IncomingMessage, response: import('node:http').ServerResponse): Promise<void> {
     const { facts, names, log } = this.options
     this.#running += 1
     try {
-      const served = new ServiceRequest({
-        facts, balancer: this.#balancer, room: this.#room, budget: this.#budget, faults: this.#faults, serverLimits: this.#serverLimits, words: this.#words, crashes: this.#crashes, connects: this.#connects, lease: this.#lease, quotas: this.#quotas, confirmation: this.#confirmation, staleTableRetryMs: () => this.#leaseKeeper.retryMs, firstAttempts: this.#firstTries, names, counters: this.counters, log, stopping: this.#closed, tableLoaded: () => this.#learned(), noTableRetryMs: () => this.#blindRetryMs, closeAfterResponse: () => this.#closing || !this.#lease.held || this.#connections.shouldClose(request.socket)
+      const serviceRequest = new ServiceRequest({
+        facts, balancer: this.#balancer, room: this.#queue, budget: this.#retryBudget, faults: this.#serverFaults, serverLimits: this.#serverLimits, words: this.#feedbackHandler, crashes: this.#crashes, connects: this.#connectTimeout, lease: this.#keyLease, quotas: this.#quotas, confirmation: this.#tableConfirmation, staleTableRetryMs: () => this.#leaseKeeper.retryMs, firstAttempts: this.#firstAttempts, names, counters: this.counters, log, stopping: this.#stoppedListening, tableLoaded: () => this.#awaitTable(), noTableRetryMs: () => this.#noTableRetryMs, closeAfterResponse: () => this.#stopping || !this.#keyLease.held || this.#callerConnections.shouldClose(request.socket)
       }, request, response)
-      await served.serve()
+      await serviceRequest.serve()
     } catch (error) {
       log.error('request.crashed', { detail: (error as Error).stack })
       response.destroy()
@@ -254,29 +258,30 @@
     }
   }
 
-  #restMs (kind: Fact['kind']): number {
-    return watchPauseMs(kind, this.#links.watchers ?? 1, this.options.limits().drainMs)
+  #watchPauseMs (kind: Fact['kind']): number {
+    return watchPauseMs(kind, this.#sideLinks.watchers ?? 1, this.options.limits().drainMs)
   }
 
   /**
-   * Callers reach a process that has just started before it has read the store, some 0.1 s later. Each would be told to
-   * come back in 0.5 s, and is served after that tenth of a second instead.
+   * Waits until this entry can serve, but no longer than loading the routing table takes after a start. Callers reach a process
+   * some 0.1 s before it has read the store. Holding their requests for that time is better than refusing them with a
+   * `Retry-After` of 0.5 s.
    */
-  async #learned (): Promise<void> {
+  async #awaitTable (): Promise<void> {
     const { facts } = this.options
-    const leftMs = learningMs - (nowMs() - this.#startedAt)
-    const known = (): boolean => facts.routes !== undefined && this.#lease.held
-    if (known() || leftMs <= 0) return
-    const learned = new AbortController()
-    const look = (): void => { if (known()) learned.abort() }
-    const forget = [facts.onChange(look), facts.freshness.onProof(look)]
-    await pause(leftMs, learned.signal)
-    for (const each of forget) each()
+    const remainingMs = startupMs - (nowMs() - this.#startedAt)
+    const isLoaded = (): boolean => facts.routes !== undefined && this.#keyLease.held
+    if (isLoaded() || remainingMs <= 0) return
+    const loaded = new AbortController()
+    const check = (): void => { if (isLoaded()) loaded.abort() }
+    const unsubscribe = [facts.onChange(check), facts.freshness.onProof(check)]
+    await pause(remainingMs, loaded.signal)
+    for (const each of unsubscribe) each()
   }
 
-  /** Soon while it is only starting; later once neither the store nor a peer had the table in the time that takes. */
-  get #blindRetryMs (): number {
-    return nowMs() - this.#startedAt < learningMs ? learningMs : outageRetryAfterMs
+  /** `Retry-After` without a routing table: short during startup, longer if neither the store nor a peer provided one by then. */
+  get #noTableRetryMs (): number {
+    return nowMs() - this.#startedAt < startupMs ? startupMs : outageRetryAfterMs
   }
 
   #reconcile (): void {
@@ -284,14 +289,14 @@
     const engines = [...facts.servers.values()].filter(server => facts.routes?.service(server.service)?.engine !== undefined)
     for (const server of facts.servers.values()) this.#balancer.state(server)
     this.#balancer.states.prune(facts.servers)
-    this.#links.reconcile(engines)
+    this.#sideLinks.reconcile(engines)
   }
 
   #applyTable (): void {
     const limits = this.options.facts.routes?.table.limits
     if (limits === undefined) return
     this.server.headersTimeout = limits.headerTimeoutMs
-    this.server.keepAliveTimeout = limits.idleTimeoutMs + idleSlackMs
+    this.server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveSlackMs
     this.#quotas.follow(this.options.facts.routes?.table.teams ?? [])
     this.#reconcile()
   }
@@ -299,60 +304,61 @@
   async #sweep (): Promise<void> {
     const { signal } = this.#stop
     while (!signal.aborted) {
-      await pause(sweepMs, signal)
+      await pause(sweepIntervalMs, signal)
       this.options.facts.expire()
       this.#crashes.expire()
       this.#serverLimits.expire(this.options.facts.servers.values())
       this.#balancer.expire()
       this.#leaseKeeper.check()
-      this.#watch.check()
-      this.#seedTurn.setActive(this.#needsSeeds)
-      const { entries } = this.#links
-      this.#mostEntries = this.#ceiling.of(entries, this.options.facts.servers.size)
-      this.#noteEntries(entries ?? 0)
+      this.#storeWatch.check()
+      this.#seedDuty.setActive(this.#needsSeeds)
+      const { entries } = this.#sideLinks
+      this.#maxEntries = this.#entryCeiling.of(entries, this.options.facts.servers.size)
+      this.#updateEntryCount(entries ?? 0)
     }
   }
 
-  #noteEntries (entries: number): void {
-    const before = this.#connections.entries
+  #updateEntryCount (entries: number): void {
+    const before = this.#callerConnections.entries
     if (entries === before) return
-    this.#connections.setEntryCount(entries)
+    this.#callerConnections.setEntryCount(entries)
     this.options.log.info('entries.counted', { entries, before })
   }
 
   /**
-   * Entries tell each other facts too, for one that the store turns away before it knows any side process. Once side
-   * processes near answer, those do: with all entries joined to three of them for good, each of the three had 67 channels
-   * with two heartbeats a second. What waits to be needed again has no timer: 15 entries that asked themselves for each of
-   * 15 others made an entry at rest wake 95 times a second.
+   * Keeps a connection to another entry open while it is needed. Entries exchange facts so that an entry which the store does
+   * not answer can start before it knows any side process. Once local side processes respond, facts come from those: when all
+   * entries stayed connected to three of them, each of the three had 67 channels with two heartbeats a second. Waiting until
+   * the connection is needed again takes no timer: when 15 entries polled for each of 15 others, an idle entry woke up 95
+   * times a second.
    */
-  async #keepSeed (seed: string): Promise<void> {
+  async #keepSeedConnection (seed: string): Promise<void> {
     const { dial, ownPeerAddress } = this.options
     const { signal } = this.#stop
     if (seed === ownPeerAddress) return
     for (let failures = 1; !signal.aborted; failures++) {
-      await this.#seedTurn.whenActive(signal)
+      await this.#seedDuty.whenActive(signal)
       if (signal.aborted) return
       try {
-        await this.#exchange(await dial(seed), () => this.#needsSeeds)
+        await this.#exchangeFacts(await dial(seed), () => this.#needsSeeds)
         failures = 0
       } catch (error) {
         this.options.log.debug('seed.unreachable', { seed, detail: (error as Error).message })
       }
-      await pause(backoff(failures - 1, Math.random, seedSpan), signal)
+      await pause(backoff(failures - 1, Math.random, seedBackoff), signal)
     }
   }
 
-  /** Nobody near says who watches the store, or not everything was read yet. */
+  /** Whether no local side process has sent an appointment, or facts of some kind have not been received yet. */
   get #needsSeeds (): boolean {
-    return !this.options.facts.hasSynced || this.#links.appointments.length === 0
+    return !this.options.facts.hasSynced || this.#sideLinks.appointments.length === 0
   }
 
-  /** Until the channel ends, or is no longer `needed`. */
-  async #exchange (stream: Duplex, needed = (): boolean => true): Promise<void> {
+  /** Exchanges facts with another entry until the channel ends or is no longer needed. */
+  async #exchangeFacts (stream: Duplex, needed = (): boolean => true): Promise<void> {
     const { facts, log } = this.options
     const channel = new Channel(stream, this.options.channel)
-    const check = setInterval(() => { if (!needed()) channel.close() }, seedCheckMs)
+    const check = setInterval(() => { if (!needed()) channel.close() }, seedCheckIntervalMs)
     const link = new FactLink(facts, channel, forwardDelayMs.entry, log)
     void channel.greeted.then(welcome => {
       if (!welcome) return
--- a/packages/fleet/src/entry/lease-keeper.ts
+++ b/packages/fleet/src/entry/lease-keeper.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps an entry's lease on keys: asks for proofs before it ends, and tells in the log when it does or begins again.
+ * Renews an entry's lease on keys: requests proofs of the routing table's freshness before the lease expires, and logs when the
+ * lease expires or is regained.
  */
 import type { Log } from '@finchpitch/core'
 import { nowMs } from '../clock.js'
@@ -9,12 +10,15 @@
 import type { SideLinks } from './side-links.js'
 import type { StoreWatch } from './store-watch.js'
 
-/** Between two questions for a proof: each goes to another side process, and one answers in some ms. */
-const askMs = 200
-/** The same after the lease has ended, when everybody asks at once, and mostly because the store answers nobody. */
-const lapsedAskMs = 600
-/** When callers should come back that were turned away for want of a proof. Their next try meets another entry, since the balancer knows within a second that this one is not ready; in an outage of the store no entry has a proof for a while. */
-const elsewhereRetryMs = 250
+/** Interval between requests for a proof: each goes to another side process, which answers within a few ms. */
+const requestIntervalMs = 200
+/** The interval after the lease has expired: then all entries request proofs at once, mostly because the store answers nobody. */
+const expiredRequestIntervalMs = 600
+/**
+ * `Retry-After` for requests that were refused for lack of a proof. Their retry reaches another entry, since the load balancer
+ * knows within a second that this one is not ready. During a store outage no entry has a proof, so the delay is longer.
+ */
+const otherEntryRetryAfterMs = 250
 
 export interface LeaseKeeperOptions {
   lease: KeyLease
@@ -25,38 +29,41 @@
 }
 
 export class LeaseKeeper {
-  #askedAt = -Infinity
-  /** As last told in the log. */
-  #held = true
+  #requestedAt = -Infinity
+  /** Whether the lease was held when last logged. */
+  #loggedHeld = true
 
   constructor (private readonly options: LeaseKeeperOptions) {}
 
-  /** When callers should come back that were turned away for want of a proof. */
+  /** `Retry-After` for requests that are refused for lack of a proof. */
   get retryMs (): number {
-    return this.options.links.outage ? outageRetryAfterMs : elsewhereRetryMs
+    return this.options.links.outage ? outageRetryAfterMs : otherEntryRetryAfterMs
   }
 
   /** Called several times a second. */
   check (): void {
-    this.#ask()
-    this.#tell()
+    this.#requestProof()
+    this.#logChange()
   }
 
-  /** One that reads the store proves by itself that its table is the newest; others ask, and so does one that gets no answer. */
-  #ask (): void {
+  /**
+   * An entry that watches the store gets its proofs from there. The others ask side processes, and so does one that the store
+   * does not answer.
+   */
+  #requestProof (): void {
     const { lease, links, watch } = this.options
     const now = nowMs()
-    if (!lease.proofDue || now - this.#askedAt < (lease.held ? askMs : lapsedAskMs)) return
-    this.#askedAt = now
+    if (!lease.proofDue || now - this.#requestedAt < (lease.held ? requestIntervalMs : expiredRequestIntervalMs)) return
+    this.#requestedAt = now
     void watch.prove()
     if (!watch.watching || lease.remoteProofDue) links.askFresh(lease.remoteProofDue)
   }
 
-  #tell (): void {
+  #logChange (): void {
     const { lease, facts, links, log } = this.options
     const { held } = lease
-    if (held === this.#held) return
-    this.#held = held
+    if (held === this.#loggedHeld) return
+    this.#loggedHeld = held
     const { ageMs } = facts.freshness
     log.info('keys.lease_changed', { held, ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined, table: facts.routes?.table.version, outage: links.outage })
   }
--- a/packages/fleet/src/entry/news-sources.ts
+++ b/packages/fleet/src/entry/news-sources.ts
@@ -1,10 +1,11 @@
 /**
- * From whom an entry takes the news of engines in other failure domains.
+ * Selects the side process from which an entry receives the updates of each engine.
  *
- * Load pattern: many entries and many engines. If every entry were told by every side process, bytes between domains and
- * processor time would grow with entries times engines. So a side process near the entry takes the news of a far engine
- * once and passes them on. All entries of a domain choose the same one by rendezvous hashing; where they differ for a
- * moment, the news cross twice, and no promise depends on it. An entry with no side process near follows engines itself.
+ * Updates of a local engine come from its own side process. For a remote engine, one in another failure domain, a local side
+ * process receives them once and relays them to the entries of its domain. If every side process sent its updates to every
+ * entry, the bytes between domains and the CPU time would grow with entries times engines. All entries of a domain select the
+ * same relay for an engine by rendezvous hashing. If they differ for a moment, the updates cross between domains twice, which
+ * affects nothing else. An entry without a responsive local side process subscribes to all engines directly.
  */
 import { rendezvousScore, hashOf } from '@finchpitch/decisions'
 import type { Log } from '@finchpitch/core'
@@ -12,77 +13,83 @@
 import { minBy } from '../min-by.js'
 
 export interface NewsHosts {
-  /** Hosts of engines in the entry's own failure domain whose side processes answer. */
+  /** Hosts of engines in the entry's own failure domain whose side processes are responsive. */
   near: readonly string[]
-  /** Hosts of engines in others. */
+  /** Hosts of engines in other failure domains. */
   far: readonly string[]
 }
 
-/** For each host of an engine, the host whose side process tells of it. */
-export const newsSources = ({ near, far }: NewsHosts): Map<string, string> => {
-  const sources = new Map<string, string>(near.map(host => [host, host]))
-  for (const host of far) sources.set(host, relayOf(host, near) ?? host)
+/** For the host of each engine, the host of the side process that sends its updates. */
+export const newsSources = ({ near: localHosts, far: remoteHosts }: NewsHosts): Map<string, string> => {
+  const sources = new Map<string, string>(localHosts.map(host => [host, host]))
+  for (const host of remoteHosts) sources.set(host, relayOf(host, localHosts) ?? host)
   return sources
 }
 
-/** The side process near that serves `key`: the same for all that know the same ones. */
-export const relayOf = (key: string, near: readonly string[]): string | undefined => {
+/** The host selected for `key` by rendezvous hashing: the same for every process that knows the same hosts. */
+export const relayOf = (key: string, hosts: readonly string[]): string | undefined => {
   const hash = hashOf(key)
-  return minBy(near, host => rendezvousScore(hash, hashOf(host)))
+  return minBy(hosts, host => rendezvousScore(hash, hashOf(host)))
 }
 
-/** With no side process near for this long, an entry follows engines elsewhere itself. All processes of a domain are back sooner after a power loss. */
-const aloneMs = 1000
+/**
+ * Without a responsive local side process for this long, an entry subscribes to remote engines directly. After a power loss, all
+ * processes of a domain are back sooner.
+ */
+const noRelayTimeoutMs = 1000
 
 /**
- * Sources are chosen anew once the side processes near have stayed the same for this long: as all start, they come one by one.
- * Less than the 200 ms between two looks, so that the second look chooses also where its timer came early; else news of a side
- * process that froze came up to 1.6 s late, not 1.4 s.
+ * Sources are selected again once the responsive side processes have stayed the same for this long, since at startup they
+ * connect one by one. It is less than the 200 ms between two checks, so that the second check passes even if its timer fires
+ * early; otherwise updates of a remote engine whose relay froze resumed after up to 1.6 s instead of 1.4 s.
  */
-const settledMs = 150
+const settleMs = 150
 
-/** The sources in use, which stay the same while what they were chosen by does. */
+/** The sources in use. They stay the same for as long as the hosts that they were selected from. */
 export class NewsSources {
-  /** For each engine's host, the host that tells of it. */
+  /** For each engine's host, the host of the side process that sends its updates. */
   #sources: ReadonlyMap<string, string> = new Map()
-  /** What the sources were chosen by; what they would be chosen by now, and since when. */
-  #chosenBy = ''
-  #present = ''
-  #presentSince = -Infinity
-  /** Since when no side process near answers. */
-  #aloneSince = Infinity
+  /** The hosts that the sources were selected from, the hosts as of the last check, and since when those are unchanged. */
+  #selectedFrom = ''
+  #current = ''
+  #currentSince = -Infinity
+  /** Since when there is no responsive local side process. */
+  #noRelaySince = Infinity
 
   constructor (private readonly log: Log) {}
 
-  /** The host that tells of the engine at `host`. */
+  /** The host of the side process that sends the updates of the engine at `host`. */
   of (host: string): string {
     return this.#sources.get(host) ?? host
   }
 
-  /** The engines whose news the side process at `host` has to tell; its own, where nothing was chosen and it is near. */
-  toldBy (host: string, near: boolean): string[] {
-    const told = [...this.#sources].filter(([, source]) => source === host).map(([engine]) => engine)
-    return told.length === 0 && near ? [host] : told
+  /**
+   * Hosts of the engines whose updates the side process at `host` has to send. Before the first selection, a local one sends
+   * those of its own engine.
+   */
+  toldBy (host: string, isLocal: boolean): string[] {
+    const engines = [...this.#sources].filter(([, source]) => source === host).map(([engine]) => engine)
+    return engines.length === 0 && isLocal ? [host] : engines
   }
 
-  /** Chooses anew where the hosts have changed and settled; says whether it did. */
-  choose ({ near, far }: NewsHosts): boolean {
+  /** Selects the sources again if the hosts have changed and are stable. Returns whether it did. */
+  choose ({ near: localHosts, far: remoteHosts }: NewsHosts): boolean {
     const now = nowMs()
-    // Before any engine is known, there is nobody to be alone of.
-    if (near.length > 0 || far.length === 0) this.#aloneSince = Infinity
-    else this.#aloneSince = Math.min(this.#aloneSince, now)
-    const alone = now - this.#aloneSince > aloneMs
-    if (!this.#settled([alone, ...near, '', ...far].join(), now)) return false
-    this.#replace(near.length > 0 || alone ? newsSources({ near, far }) : new Map())
+    // Without remote engines no relay is needed. This includes the time before any engine is known.
+    if (localHosts.length > 0 || remoteHosts.length === 0) this.#noRelaySince = Infinity
+    else this.#noRelaySince = Math.min(this.#noRelaySince, now)
+    const direct = now - this.#noRelaySince > noRelayTimeoutMs
+    if (!this.#hasSettled([direct, ...localHosts, '', ...remoteHosts].join(), now)) return false
+    this.#replace(localHosts.length > 0 || direct ? newsSources({ near: localHosts, far: remoteHosts }) : new Map())
     return true
   }
 
-  /** Whether sources have to be chosen anew, by what is present now. */
-  #settled (present: string, now: number): boolean {
-    if (present !== this.#present) this.#presentSince = now
-    this.#present = present
-    if (present === this.#chosenBy || now - this.#presentSince < settledMs) return false
-    this.#chosenBy = present
+  /** Whether the hosts differ from those last selected from, and are stable. If so, records them as selected from. */
+  #hasSettled (current: string, now: number): boolean {
+    if (current !== this.#current) this.#currentSince = now
+    this.#current = current
+    if (current === this.#selectedFrom || now - this.#currentSince < settleMs) return false
+    this.#selectedFrom = current
     return true
   }
 
--- a/packages/fleet/src/entry/side-link.ts
+++ b/packages/fleet/src/entry/side-link.ts
@@ -1,8 +1,8 @@
 /**
- * An entry's connection to one side process, for as long as the engine beside it is listed.
+ * An entry's connection to one side process, kept for as long as the store lists the engine that the process serves.
  *
- * To a side process near it is always open. To one elsewhere it is opened when there is something to say, and closed when
- * there has been nothing for a while: news of far engines come through side processes near.
+ * The channel to a local side process, one in the same failure domain, is always open. The channel to a remote one is opened on
+ * demand and closed when idle, since updates of remote engines come through local side processes.
  */
 import type { Duplex } from 'node:stream'
 import { Channel, type Appointment, type Frame, type FrameOf } from '@finchpitch/wire'
@@ -14,157 +14,164 @@
 import { isUnreadChangeSignificant } from '../unread.js'
 import type { ServerState } from './server-state.js'
 
-/** A want is said again while requests wait, in case it was lost or declined. */
-const wantAgainMs = 600
-/** One that tells news and has said nothing for this long, near and across, isn't asked for anything: it is stuck or gone. */
-const stuckMs = { near: 1000, far: 2000 }
-/** A side process answers a want as soon as it has looked at its engine, within 0.1 s; one that is silent for longer is stuck or gone. */
-const unansweredMs = 500
-/** A channel on which a want stays unanswered for this long is opened anew: it may have gone silent for good. */
-const deadMs = 1500
-/** After a side process declined, others are asked first for this long. */
-const declinedMs = 500
-/** A far link with nothing to say for this long is closed. At 8 requests a second to 43 far engines each is used every 5 s. */
-const idleMs = 15_000
+/** A load request is repeated at this interval while requests wait for the adapter, in case it was lost or declined. */
+const loadRequestRepeatMs = 600
+/** A side process that sends updates and has been silent for this long has hung or failed, and is sent no requests. */
+const silenceTimeoutMs = { local: 1000, remote: 2000 }
+/**
+ * A side process answers a load request as soon as it has polled its engine, within 0.1 s; without an answer for this long it has
+ * hung or failed.
+ */
+const responseTimeoutMs = 500
+/** A channel on which a load request stays unanswered for this long is closed and opened again, since it may be dead. */
+const deadChannelMs = 1500
+/** For this long after a side process declined to load an adapter, it is not asked for that adapter again. */
+const declineBackoffMs = 500
+/** An idle remote link is closed after this time. At 8 requests a second to 43 remote engines, each link is used every 5 s. */
+const idleCloseMs = 15_000
 
 export interface SideLinkOptions extends SideConnectionOptions {
-  /** Gets a proof that the table is the newest, where this entry reads the store and has none that is young. */
+  /** If this entry watches the store, gets a proof from there that the routing table is current, unless it has a recent one. */
   prove: () => Promise<void>
-  /** This entry watches the store, so that the side process hears of everything from it at once. */
+  /** Whether this entry watches the store. If so, it sends all facts to local side processes without delay. */
   watching: () => boolean
-  /** The highest fence that the side process was ever known to use. */
+  /** The highest fencing token that the side process is known to have used. */
   fence: () => number
-  /** It was joined or lost. */
+  /** Called when the channel is opened or closed. */
   changed: () => void
   joined: (channel: Channel) => void
-  /** It named this entry as a watcher or no longer does, or one that had spoken of it was lost. */
+  /** Called when the side process sends an appointment, or is lost after it sent one. */
   appointmentChanged: () => void
-  /** Frames that concern more than the link itself. */
+  /** Called for each frame, after the link itself has handled it. */
   take: (frame: Frame, channel: Channel) => void
 }
 
-type Want = Omit<FrameOf<'want'>, 'type'>
+type LoadRequest = Omit<FrameOf<'want'>, 'type'>
 
 export class SideLink {
   #channel: Channel | undefined
   #running = false
   readonly #stop = new AbortController()
-  #heardAt = -Infinity
-  /** When it was first asked for something since it was last heard. */
+  #lastHeardAt = -Infinity
+  /** When the first load request since the last frame from the side process was sent. */
   #unansweredSince = Infinity
-  /** Unread prompt tokens as last told. */
-  #toldUnread = 0
-  readonly #wanted = new Map<string, number>()
+  /** Prompt tokens that the engine has not prefilled yet, as last reported. */
+  #reportedUnread = 0
+  /** When each adapter was last requested, by key. */
+  readonly #requested = new Map<string, number>()
+  /** When each adapter was last declined, by key. */
   readonly #declined = new Map<string, number>()
-  /** Asked for while the link was being opened. */
-  readonly #queued = new Map<string, Want>()
-  #follows: readonly string[] = []
+  /** Load requests made before the channel was open. */
+  readonly #queuedRequests = new Map<string, LoadRequest>()
+  /** Hosts of the engines whose updates this link subscribes to. */
+  #subscriptions: readonly string[] = []
+  /** Whether this entry depends on the side process for facts from the store. */
   #dependent = false
   #factLink: FactLink | undefined
-  /** A proof of freshness is to be asked for once it is joined. */
-  #freshDue = false
-  /** Whether this entry is to watch the store, as last told. */
+  /** Whether to request a freshness proof once the channel is open. */
+  #proofDue = false
+  /** The last appointment from the side process: whether this entry has to watch the store. */
   #appointment: Appointment | undefined
-  #usedAt = -Infinity
+  #lastUsedAt = -Infinity
 
   constructor (readonly host: string, readonly near: boolean, private readonly options: SideLinkOptions) {
-    if (near) this.#open()
+    if (near) this.#connect()
   }
 
   get connected (): boolean {
     return this.#channel !== undefined
   }
 
-  /** Unread prompt tokens of this entry as its side process knows them. */
+  /** Prompt tokens of this entry's requests that the engine has not prefilled yet, as last reported to the side process. */
   get toldUnread (): number {
-    return this.#toldUnread
+    return this.#reportedUnread
   }
 
-  /** It says something often, and has of late. */
+  /** Whether the channel is open and a frame arrived recently. */
   get lively (): boolean {
-    return this.#channel !== undefined && nowMs() - this.#heardAt <= (this.near ? stuckMs.near : stuckMs.far)
+    return this.#channel !== undefined && nowMs() - this.#lastHeardAt <= (this.near ? silenceTimeoutMs.local : silenceTimeoutMs.remote)
   }
 
-  /** The hosts of the engines whose news it has to tell. */
+  /** Replaces the set of engine hosts whose updates the side process has to send. */
   follow (hosts: readonly string[]): void {
-    if (hosts.length === this.#follows.length && hosts.every((host, at) => host === this.#follows[at])) return
-    this.#follows = hosts
-    if (hosts.length > 0) this.#open()
-    if (this.#channel !== undefined) this.#tellFollows(this.#channel)
+    if (hosts.length === this.#subscriptions.length && hosts.every((host, at) => host === this.#subscriptions[at])) return
+    this.#subscriptions = hosts
+    if (hosts.length > 0) this.#connect()
+    if (this.#channel !== undefined) this.#sendSubscriptions(this.#channel)
   }
 
-  /** Whether it names this entry as a watcher of the store; `undefined` where it says nothing. */
+  /** Whether the side process appoints this entry to watch the store; `undefined` if it is unresponsive or has sent no appointment. */
   get appointment (): Appointment | undefined {
     return this.lively ? this.#appointment : undefined
   }
 
-  /** Whether this entry learns of the store's facts from it alone. */
+  /** Sets whether this entry depends on the side process for facts from the store. */
   depend (on: boolean): void {
     if (on === this.#dependent) return
     this.#dependent = on
     this.#channel?.send({ type: 'depend', on })
   }
 
-  /** This entry began to watch the store, or left it to others. */
+  /** Updates the delay of facts after this entry has started or stopped watching the store. */
   watchingChanged (): void {
-    if (this.near) this.#factLink?.setDelay(this.#patience)
+    if (this.near) this.#factLink?.setDelay(this.#factDelayMs)
   }
 
-  /** The channel once it is joined; opens one where there is none. */
+  /** The channel if it is open. If it is not, reading this starts to open it. */
   get channel (): Channel | undefined {
-    this.#usedAt = nowMs()
-    this.#open()
+    this.#lastUsedAt = nowMs()
+    this.#connect()
     return this.#channel
   }
 
-  /** Asks how fresh the side process's table is. */
+  /** Requests a proof that the routing table is current. */
   askFresh (): void {
-    this.#usedAt = nowMs()
-    this.#open()
-    if (this.#channel === undefined) this.#freshDue = true
+    this.#lastUsedAt = nowMs()
+    this.#connect()
+    if (this.#channel === undefined) this.#proofDue = true
     else requestProof(this.options.facts, this.#channel)
   }
 
-  /** Whether it can be asked to bring the key in. */
+  /** Whether the side process can be asked to load the adapter. */
   orderable (key: string): boolean {
     const now = nowMs()
-    if (now - (this.#declined.get(key) ?? -Infinity) <= declinedMs) return false
-    if (now - this.#unansweredSince > unansweredMs) return false
-    // A far one may have nothing to say; whether it answers is seen once it is asked.
-    return this.near || this.#follows.length > 0 ? this.lively : true
+    if (now - (this.#declined.get(key) ?? -Infinity) <= declineBackoffMs) return false
+    if (now - this.#unansweredSince > responseTimeoutMs) return false
+    // Without a subscription, a remote side process may have nothing to send. Only a request shows whether it responds.
+    return this.near || this.#subscriptions.length > 0 ? this.lively : true
   }
 
-  /** It was asked for the key a moment ago, and may well bring it in. */
+  /** Whether the adapter was requested recently, so that the engine will probably load it. */
   awaits (key: string): boolean {
-    return nowMs() - (this.#wanted.get(key) ?? -Infinity) < wantAgainMs
+    return nowMs() - (this.#requested.get(key) ?? -Infinity) < loadRequestRepeatMs
   }
 
-  /** Asks for the key, unless that was done a moment ago; says whether it did. */
-  want (want: Want): boolean {
+  /** Asks the side process to load an adapter, unless it was asked recently. Returns whether it was asked now. */
+  want (request: LoadRequest): boolean {
     const now = nowMs()
-    if (this.awaits(want.key)) return false
-    this.#wanted.set(want.key, now)
+    if (this.awaits(request.key)) return false
+    this.#requested.set(request.key, now)
     this.#unansweredSince = Math.min(this.#unansweredSince, now)
-    this.#usedAt = now
-    this.#open()
-    if (this.#channel === undefined) this.#queued.set(want.key, want)
-    else this.#channel.send({ type: 'want', ...want })
+    this.#lastUsedAt = now
+    this.#connect()
+    if (this.#channel === undefined) this.#queuedRequests.set(request.key, request)
+    else this.#channel.send({ type: 'want', ...request })
     return true
   }
 
-  /** The engine holds these keys now. */
+  /** Records that the engine has loaded these keys. */
   held (keys: Iterable<string>): void {
-    for (const key of keys) this.#wanted.delete(key)
+    for (const key of keys) this.#requested.delete(key)
   }
 
-  /** Tells which adapters are in use; `all`: also what was told before. */
+  /** Reports which adapters are in use. Without `all`, adapters in use without new requests are left out. */
   tellUses (state: ServerState, all: boolean): void {
     if (this.#channel === undefined) {
-      if (state.uses.size > 0) this.#open()
+      if (state.uses.size > 0) this.#connect()
       return
     }
     const { unread } = state
-    const unreadChanged = isUnreadChangeSignificant(this.#toldUnread, unread)
+    const unreadChanged = isUnreadChangeSignificant(this.#reportedUnread, unread)
     if (state.uses.size === 0 && !unreadChanged) return
     const uses: Array<[string, number, number]> = []
     for (const [key, use] of state.uses) {
@@ -174,19 +181,19 @@
       if (use.running === 0) state.uses.delete(key)
     }
     if (uses.length === 0 && !unreadChanged) return
-    this.#usedAt = nowMs()
-    this.#toldUnread = unread
+    this.#lastUsedAt = nowMs()
+    this.#reportedUnread = unread
     this.#channel.send({ type: 'uses', uses, unread })
   }
 
-  /** Ends a channel that is of no use any more, or that is dead. */
+  /** Closes the channel if it is dead or no longer needed, and drops expired entries. */
   check (): void {
     const now = nowMs()
-    for (const [key, at] of this.#wanted) if (now - at > deadMs) this.#wanted.delete(key)
-    for (const [key, at] of this.#declined) if (now - at > declinedMs) this.#declined.delete(key)
-    if (now - this.#unansweredSince > deadMs) {
+    for (const [key, at] of this.#requested) if (now - at > deadChannelMs) this.#requested.delete(key)
+    for (const [key, at] of this.#declined) if (now - at > declineBackoffMs) this.#declined.delete(key)
+    if (now - this.#unansweredSince > deadChannelMs) {
       this.#unansweredSince = Infinity
-      this.#queued.clear()
+      this.#queuedRequests.clear()
       this.#channel?.close({ reason: 'silent' })
     }
     if (!this.#needed) this.#channel?.close()
@@ -198,21 +205,21 @@
   }
 
   get #needed (): boolean {
-    return this.near || this.#follows.length > 0 || this.#queued.size > 0 || nowMs() - this.#usedAt < idleMs
+    return this.near || this.#subscriptions.length > 0 || this.#queuedRequests.size > 0 || nowMs() - this.#lastUsedAt < idleCloseMs
   }
 
-  #open (): void {
-    this.#usedAt = nowMs()
+  #connect (): void {
+    this.#lastUsedAt = nowMs()
     if (this.#running) return
     this.#running = true
-    void this.#keep()
+    void this.#run()
   }
 
-  async #keep (): Promise<void> {
+  async #run (): Promise<void> {
     await keepConnected({
       host: this.host,
       connection: this.options,
-      runSession: stream => this.#talk(stream),
+      runSession: stream => this.#runSession(stream),
       needed: () => this.#needed,
       signal: this.#stop.signal,
       peer: 'side'
@@ -220,79 +227,81 @@
     this.#running = false
   }
 
-  async #talk (stream: Duplex): Promise<string> {
+  async #runSession (stream: Duplex): Promise<string> {
     const { facts, log } = this.options
     const channel = new Channel(stream, this.options.channel)
     if (this.#stop.signal.aborted) channel.close()
-    const factLink = new FactLink(facts, channel, this.#patience, log)
+    const factLink = new FactLink(facts, channel, this.#factDelayMs, log)
     this.#factLink = factLink
-    void channel.greeted.then(welcome => { if (welcome) this.#joined(channel, factLink) })
+    void channel.greeted.then(welcome => { if (welcome) this.#handleConnect(channel, factLink) })
     for await (const frame of channel.frames()) {
-      this.#heardAt = nowMs()
+      this.#lastHeardAt = nowMs()
       this.#unansweredSince = Infinity
-      this.#take(frame, factLink)
+      this.#handleFrame(frame, factLink)
     }
     factLink.stop()
     this.#factLink = undefined
     this.#channel = undefined
-    this.#toldUnread = 0
-    this.#wanted.clear()
-    this.#appoint(undefined)
+    this.#reportedUnread = 0
+    this.#requested.clear()
+    this.#setAppointment(undefined)
     this.options.changed()
     return (await channel.ended).reason
   }
 
-  #joined (channel: Channel, factLink: FactLink): void {
+  #handleConnect (channel: Channel, factLink: FactLink): void {
     const { facts, fence, log, changed, joined } = this.options
     this.#channel = channel
-    this.#heardAt = nowMs()
+    this.#lastHeardAt = nowMs()
     channel.send({ type: 'fences', highest: Math.max(fence(), Math.floor(facts.revision)) })
-    // The side process trusts the progress in heartbeats from this frame on, so the facts must follow before the next heartbeat.
-    this.#tellFollows(channel)
+    // From this frame on, the side process assumes that everything heartbeats report as complete was sent to it, so the facts
+    // must be sent before the next heartbeat.
+    this.#sendSubscriptions(channel)
     if (this.#dependent) channel.send({ type: 'depend', on: true })
-    // Entries elsewhere and side processes pass facts on; one more copy of each over every link across would cost bytes.
+    // A remote side process gets facts from its local entries and from other side processes; another copy over each link between
+    // domains would waste bytes.
     if (this.near) factLink.start()
     else factLink.stop()
-    for (const want of this.#queued.values()) channel.send({ type: 'want', ...want })
-    this.#queued.clear()
-    if (this.#freshDue) requestProof(facts, channel)
-    this.#freshDue = false
+    for (const request of this.#queuedRequests.values()) channel.send({ type: 'want', ...request })
+    this.#queuedRequests.clear()
+    if (this.#proofDue) requestProof(facts, channel)
+    this.#proofDue = false
     log.info('side.joined', { host: this.host, process: channel.peer.process })
     joined(channel)
     changed()
   }
 
-  #appoint (appointment: Appointment | undefined): void {
+  #setAppointment (appointment: Appointment | undefined): void {
     if (appointment === undefined && this.#appointment === undefined) return
     this.#appointment = appointment
     this.options.appointmentChanged()
   }
 
-  get #patience (): number {
+  get #factDelayMs (): number {
     if (!this.near) return forwardDelayMs.remoteSide
     return this.options.watching() ? forwardDelayMs.dependent : forwardDelayMs.resting
   }
 
-  #tellFollows (channel: Channel): void {
-    const quiet = this.#follows.length === 0
-    channel.setPace(quiet ? idleChannelPace : this.options.channel)
-    channel.send({ type: 'follow', hosts: [...this.#follows], relay: false })
+  #sendSubscriptions (channel: Channel): void {
+    const idle = this.#subscriptions.length === 0
+    channel.setPace(idle ? idleChannelPace : this.options.channel)
+    channel.send({ type: 'follow', hosts: [...this.#subscriptions], relay: false })
   }
 
-  async #answerFresh (question: ProofRequest): Promise<void> {
+  async #answerProofRequest (request: ProofRequest): Promise<void> {
     await this.options.prove()
-    answerProofRequest(this.options.facts, question)
+    answerProofRequest(this.options.facts, request)
   }
 
-  #take (frame: Frame, factLink: FactLink): void {
+  #handleFrame (frame: Frame, factLink: FactLink): void {
     factLink.handleFrame(frame)
     if (frame.type === 'caught_up') this.options.facts.markAllComplete(frame.complete)
-    if (frame.type === 'appoint') this.#appoint(frame)
+    if (frame.type === 'appoint') this.#setAppointment(frame)
     if (frame.type === 'fresh') acceptProof(this.options.facts, frame)
-    if (frame.type === 'ask_fresh' && this.#channel !== undefined) void this.#answerFresh({ channel: this.#channel, ask: frame, cameAt: boottimeMs() })
+    if (frame.type === 'ask_fresh' && this.#channel !== undefined) void this.#answerProofRequest({ channel: this.#channel, ask: frame, cameAt: boottimeMs() })
     if (frame.type === 'declined') {
       this.#declined.set(frame.key, nowMs())
-      this.#wanted.delete(frame.key)
+      this.#requested.delete(frame.key)
     }
     if (this.#channel !== undefined) this.options.take(frame, this.#channel)
   }
--- a/packages/fleet/src/entry/side-links.ts
+++ b/packages/fleet/src/entry/side-links.ts
@@ -1,9 +1,9 @@
 /**
- * An entry's connections to all side processes, and what it was told of their engines.
+ * An entry's connections to all side processes, and a local copy of the state of their engines.
  *
- * A side process is found beside its engine, on a port that is the same on all machines. News of an engine come from its
- * own side process or, across failure domains, through one near (`news-sources.ts`); wants and uses go straight to the
- * engine's side process.
+ * A side process listens on the host of its engine, on a port that is the same on all machines. Updates of a local engine come
+ * from its own side process; those of a remote engine, one in another failure domain, are relayed by a local side process
+ * (`update-sources.ts`). Load requests and reports of adapter use go straight to the engine's own side process.
  */
 import { hostOf, pause } from '@finchpitch/core'
 import type { Appointment, Channel, Frame, FrameOf, HoldingFrame } from '@finchpitch/wire'
@@ -17,41 +17,45 @@
 import type { ServerStates } from './server-states.js'
 import { SideLink } from './side-link.js'
 
-/** An adapter whose last request ended can make room; places are short under load, so that is told soon. */
-const usesMs = 40
 /**
- * How often links are looked after. Uses have a timer of their own, set by the first that changes: with one look at all
- * every 50 ms an entry at rest woke 20 times a second for nothing.
+ * Delay of a report of adapter use. An adapter whose last request has ended can be unloaded, and slots are scarce under load, so
+ * it is short.
  */
-const tendMs = 200
-/** Said again even where nothing changed, as a side process forgets what it hears no more of. */
-const usesAgainMs = 1000
-/** Over the number of side processes, so that each may be the first. */
-const mostStart = 10_000
+const usesDelayMs = 40
+/**
+ * Interval of maintenance. Changes of adapter use have a timer of their own, which the first change starts: when all servers
+ * were checked every 50 ms instead, an idle entry woke up 20 times a second for nothing.
+ */
+const maintenanceIntervalMs = 200
+/** Adapter use is reported again at this interval even if unchanged, since a side process forgets what is no longer reported. */
+const usesRepeatMs = 1000
+/** Upper bound of the random first round, higher than the number of side processes so that any of them may come first. */
+const maxFirstRound = 10_000
 
 export interface SideLinksOptions extends SideConnectionOptions {
   process: string
   domain: string
   states: ServerStates
-  /** Gets a proof that the table is the newest, where this entry reads the store. */
+  /** If this entry watches the store, gets a proof from there that the routing table is current, unless it has a recent one. */
   prove: () => Promise<void>
-  /** This entry watches the store. */
+  /** Whether this entry watches the store. */
   watching: () => boolean
-  /** News that may let waiting requests go on: of these adapters, or of any. */
+  /** Called after changes that may let queued requests go on: those for these adapters, or all. */
   changed: (keys: string[] | undefined) => void
-  /** An answer about quotas came from the side process at `host`. */
+  /** Called when the side process at `host` answers a quota request. */
   granted: (host: string, channel: Channel, frame: FrameOf<'quota_grant'>) => void
-  /** News of servers that ended under requests came. */
+  /** Called for attempt reports of other entries: crashes of servers under requests, completed runs, and advertised limits. */
   crashes: (frame: FrameOf<'crashes'>, from: string) => void
-  /** The side process at `host` has what it was told of such. */
+  /** Called when the side process at `host` acknowledges an attempt report. */
   crashesNoted: (host: string, stamp: number, granted: boolean) => void
-  /** A side process near was joined. */
+  /** Called when the channel to a local side process is open. */
   joinedNear: (channel: Channel) => void
-  /** Who watches the store, as side processes near tell it, may have changed. */
+  /** Called when `appointments` may have changed. */
   appointmentsChanged: () => void
 }
 
-interface Engine {
+/** An engine, with the link to its side process and a copy of its state. */
+interface LinkedEngine {
   domain: string
   link: SideLink
   mirror: EngineMirror
@@ -59,19 +63,19 @@
 
 export class SideLinks {
   /** By the host that an engine shares with its side process. */
-  readonly #engines = new Map<string, Engine>()
+  readonly #engines = new Map<string, LinkedEngine>()
   readonly #sources: NewsSources
-  /** Side processes take turns in being asked for proofs; entries begin with different ones. */
-  #freshRounds = Math.floor(Math.random() * mostStart)
-  #usesDue: NodeJS.Timeout | undefined
-  /** Servers whose uses changed since they were told. */
-  readonly #used = new Set<string>()
+  /** Requests for proofs rotate through the side processes, from a random start so that entries begin with different ones. */
+  #proofRounds = Math.floor(Math.random() * maxFirstRound)
+  #usesTimer: NodeJS.Timeout | undefined
+  /** Servers whose adapter use has changed since the last report. */
+  readonly #changedUses = new Set<string>()
 
   constructor (private readonly options: SideLinksOptions) {
     this.#sources = new NewsSources(options.log)
   }
 
-  /** Begins with new engines and lets go of those that are gone. */
+  /** Opens links for new engines and closes those of engines that are gone. */
   reconcile (engines: readonly BackendServer[]): void {
     const domains = new Map(engines.map(engine => [hostOf(engine.address), engine.domain]))
     for (const [host, { link }] of this.#engines) {
@@ -80,21 +84,21 @@
       this.#engines.delete(host)
     }
     for (const [host, domain] of domains) {
-      if (!this.#engines.has(host)) this.#engines.set(host, this.#begin(host, domain))
+      if (!this.#engines.has(host)) this.#engines.set(host, this.#addEngine(host, domain))
     }
   }
 
-  /** How many entries there are, by what side processes tell; `undefined` while none has. */
+  /** Number of entries, as reported by the side processes; `undefined` until one has reported. */
   get entries (): number | undefined {
-    return countEntries(this.#toldEntries)
+    return countEntries(this.#domainEntries)
   }
 
-  /** How many of them watch the store. */
+  /** Number of entries that watch the store; `undefined` until a side process has reported. */
   get watchers (): number | undefined {
-    return countWatchers(this.#toldEntries)
+    return countWatchers(this.#domainEntries)
   }
 
-  /** What side processes near that answer say of this entry as a watcher of the store. */
+  /** The last appointment from each responsive local side process: whether this entry has to watch the store. */
   get appointments (): Appointment[] {
     return [...this.#engines.values()].filter(({ link }) => link.near).map(({ link }) => link.appointment).filter(each => each !== undefined)
   }
@@ -104,36 +108,39 @@
     return [...this.#engines.keys()]
   }
 
-  /** Of all side processes. What a far one is worth is only seen once it is told something. */
+  /** All side processes. Remote ones count as responsive, since only sending them something shows whether they are. */
   get places (): SidePlace[] {
     return [...this.#engines].map(([host, { domain, link }]) => ({ host, domain, lively: link.lively || !link.near }))
   }
 
-  /** The channel to the side process at a host; opens one where there is none yet. */
+  /** The channel to the side process at a host if it is open. If it is not, this starts to open it. */
   channelTo (host: string): Channel | undefined {
     return this.#engines.get(host)?.link.channel
   }
 
-  /** The store answers no entry near. */
+  /** Whether the store answers none of the entries in this failure domain. */
   get outage (): boolean {
     return this.appointments.some(each => each.outage)
   }
 
-  /** Asks one side process after the other for a proof that the table is the newest: those near, and on `far` also the others. */
-  askFresh (far: boolean): void {
+  /**
+   * Requests a proof that the routing table is current from the next responsive local side process and, with `includeRemote`,
+   * also from the next remote one.
+   */
+  askFresh (includeRemote: boolean): void {
     const links = [...this.#engines.values()].map(({ link }) => link)
-    this.#freshRounds += 1
-    for (const asked of [links.filter(link => link.near && link.lively), far ? links.filter(link => !link.near) : []]) {
-      asked[this.#freshRounds % asked.length]?.askFresh()
+    this.#proofRounds += 1
+    for (const candidates of [links.filter(link => link.near && link.lively), includeRemote ? links.filter(link => !link.near) : []]) {
+      candidates[this.#proofRounds % candidates.length]?.askFresh()
     }
   }
 
-  /** This entry began to watch the store, or left it to others. */
+  /** Updates the delay of facts after this entry has started or stopped watching the store. */
   watchingChanged (): void {
     for (const { link } of this.#engines.values()) link.watchingChanged()
   }
 
-  get #toldEntries (): DomainEntries[] {
+  get #domainEntries (): DomainEntries[] {
     return [...this.#engines.values()].map(({ domain, mirror }) =>
       ({ domain, entries: mirror.hasUpdates ? mirror.entries : undefined, strangers: mirror.strangers }))
   }
@@ -142,86 +149,86 @@
     return [...this.#engines.values()].filter(({ link }) => link.connected).length
   }
 
-  /** Whether the engine's side process can be asked to bring the key in. */
+  /** Whether the engine's side process can be asked to load the adapter. */
   orderable (engine: BackendServer, key: string): boolean {
-    const known = this.#at(engine)
-    return known !== undefined && !known.mirror.lost && known.link.orderable(key)
+    const linked = this.#linkedEngine(engine)
+    return linked !== undefined && !linked.mirror.lost && linked.link.orderable(key)
   }
 
   /**
-   * Whether the engine was asked for the key a moment ago, and may well bring it in though it has not said so yet. It
-   * keeps the next request for the key from asking another engine: loads of what was on its way fell from 72 to 24 of some
-   * 850 in a minute on 8 engines.
+   * Whether the engine was asked to load the adapter recently, so that it will probably do so although it has not reported it
+   * yet. This keeps the next request for the adapter from asking another engine: on 8 engines with some 850 loads a minute,
+   * loads of adapters that were already being loaded elsewhere fell from 72 to 24.
    */
   awaits (engine: BackendServer, key: string): boolean {
-    return this.#at(engine)?.link.awaits(key) === true
+    return this.#linkedEngine(engine)?.link.awaits(key) === true
   }
 
-  /** Whether the engine has a copy of the key at hand. */
+  /** Whether the engine probably still caches the adapter after unloading it. */
   warm (engine: BackendServer, key: string): boolean {
-    return this.#at(engine)?.mirror.warm.version(key) !== undefined
+    return this.#linkedEngine(engine)?.mirror.warm.version(key) !== undefined
   }
 
-  /** Asks for the key, unless that was done a moment ago. */
+  /** Asks the engine's side process to load the adapter, unless it was asked recently. `waiting`: how many requests wait for it. */
   want (engine: BackendServer, key: string, waiting: number, priority: number, version: number | undefined): void {
-    const want = { key, waiting, priority, ...(version === undefined ? {} : { version }) }
-    if (this.#at(engine)?.link.want(want) !== true) return
+    const request = { key, waiting, priority, ...(version === undefined ? {} : { version }) }
+    if (this.#linkedEngine(engine)?.link.want(request) !== true) return
     this.options.log.info('adapter.wanted', { key, server: engine.id, waiting, priority })
   }
 
-  /** Requests began, were heard or ended somewhere; the side processes concerned are told soon. */
+  /** Schedules a report to the side process of a server at which requests were started, got their first byte or ended. */
   usesChanged (id: string): void {
-    this.#used.add(id)
-    this.#usesDue ??= setTimeout(() => this.#tellChangedUses(), usesMs)
+    this.#changedUses.add(id)
+    this.#usesTimer ??= setTimeout(() => this.#sendChangedUses(), usesDelayMs)
   }
 
-  /** Looks after the links until `signal` aborts. */
+  /** Maintains the links until `signal` aborts. */
   async tend (signal: AbortSignal): Promise<void> {
     for (let round = 1; !signal.aborted; round++) {
-      await pause(tendMs, signal)
-      const all = round % (usesAgainMs / tendMs) === 0
-      if (all) {
-        this.#tellAllUses()
+      await pause(maintenanceIntervalMs, signal)
+      const full = round % (usesRepeatMs / maintenanceIntervalMs) === 0
+      if (full) {
+        this.#sendAllUses()
         for (const { link } of this.#engines.values()) link.check()
       }
-      const hosts = this.#hosts()
-      this.#chooseSources(hosts)
-      this.#chooseTeller(hosts)
+      const hosts = this.#sourceHosts()
+      this.#selectSources(hosts)
+      this.#selectFactSource(hosts)
     }
   }
 
   close (): void {
-    clearTimeout(this.#usesDue)
+    clearTimeout(this.#usesTimer)
     for (const { link } of this.#engines.values()) link.close()
   }
 
-  #at (server: BackendServer): Engine | undefined {
+  #linkedEngine (server: BackendServer): LinkedEngine | undefined {
     return this.#engines.get(hostOf(server.address))
   }
 
-  /** Of 70 servers two or three change in the time that changes are gathered. */
-  #tellChangedUses (): void {
-    this.#usesDue = undefined
-    for (const id of this.#used) {
+  /** Reports only the servers with changes: of 70 servers, two or three change within the delay. */
+  #sendChangedUses (): void {
+    this.#usesTimer = undefined
+    for (const id of this.#changedUses) {
       const server = this.options.facts.servers.get(id)
-      if (server !== undefined) this.#tellUses(server, false)
+      if (server !== undefined) this.#sendUses(server, false)
     }
-    this.#used.clear()
+    this.#changedUses.clear()
   }
 
-  #tellAllUses (): void {
-    clearTimeout(this.#usesDue)
-    this.#usesDue = undefined
-    this.#used.clear()
-    for (const server of this.options.facts.servers.values()) this.#tellUses(server, true)
+  #sendAllUses (): void {
+    clearTimeout(this.#usesTimer)
+    this.#usesTimer = undefined
+    this.#changedUses.clear()
+    for (const server of this.options.facts.servers.values()) this.#sendUses(server, true)
   }
 
-  #tellUses (server: BackendServer, all: boolean): void {
+  #sendUses (server: BackendServer, all: boolean): void {
     const state = this.options.states.get(server.id)
-    if (state !== undefined) this.#at(server)?.link.tellUses(state, all)
+    if (state !== undefined) this.#linkedEngine(server)?.link.tellUses(state, all)
   }
 
-  #begin (host: string, domain: string): Engine {
+  #addEngine (host: string, domain: string): LinkedEngine {
     const mirror = new EngineMirror()
     const { changed, appointmentsChanged, joinedNear } = this.options
     const link: SideLink = new SideLink(host, domain === this.options.domain, {
@@ -230,39 +237,42 @@
       changed: () => changed(undefined),
       joined: channel => { if (link.near) joinedNear(channel) },
       appointmentChanged: appointmentsChanged,
-      take: (frame, channel) => this.#take(host, frame, channel)
+      take: (frame, channel) => this.#handleFrame(host, frame, channel)
     })
     if (link.near) link.follow([host])
     return { domain, link, mirror }
   }
 
-  /** Hosts of the side processes near that answer, and of all engines elsewhere. */
-  #hosts (): NewsHosts {
-    const near: string[] = []
-    const far: string[] = []
+  /** Hosts of the responsive local side processes and of all remote engines. */
+  #sourceHosts (): NewsHosts {
+    const localHosts: string[] = []
+    const remoteHosts: string[] = []
     for (const [host, { link }] of this.#engines) {
-      if (!link.near) far.push(host)
-      else if (link.lively) near.push(host)
+      if (!link.near) remoteHosts.push(host)
+      else if (link.lively) localHosts.push(host)
     }
-    return { near, far }
+    return { near: localHosts, far: remoteHosts }
   }
 
-  /** Takes the news of each engine from where they should come now. */
-  #chooseSources (hosts: NewsHosts): void {
+  /** Selects the sources of updates and subscribes to them. */
+  #selectSources (hosts: NewsHosts): void {
     if (!this.#sources.choose(hosts)) return
     for (const [host, { link }] of this.#engines) link.follow(this.#sources.toldBy(host, link.near))
   }
 
-  /** An entry that doesn't watch the store learns of it from one side process near, each entry from another. */
-  #chooseTeller ({ near }: NewsHosts): void {
+  /**
+   * An entry that does not watch the store depends on one local side process for facts. Rendezvous hashing spreads the entries
+   * over the side processes.
+   */
+  #selectFactSource ({ near: localHosts }: NewsHosts): void {
     const { process, watching } = this.options
-    const teller = watching() ? undefined : relayOf(process, near)
-    for (const [host, { link }] of this.#engines) if (link.near) link.depend(host === teller)
+    const factSource = watching() ? undefined : relayOf(process, localHosts)
+    for (const [host, { link }] of this.#engines) if (link.near) link.depend(host === factSource)
   }
 
   readonly #handlers: { [Type in Frame['type']]?: (host: string, frame: FrameOf<Type>, channel: Channel) => void } = {
-    holding: (host, frame) => this.#hold(host, frame),
-    arrived: (host, { key, version }) => this.#arrived(host, key, version),
+    holding: (host, frame) => this.#handleUpdate(host, frame),
+    arrived: (host, { key, version }) => this.#handleLoaded(host, key, version),
     declined: (host, { key, reason }) => {
       this.options.log.info('adapter.declined', { key, host, reason })
       this.options.changed([key])
@@ -272,22 +282,26 @@
     crashes_noted: (host, { stamp, granted }) => this.options.crashesNoted(host, stamp, granted === true)
   }
 
-  #take (host: string, frame: Frame, channel: Channel): void {
+  #handleFrame (host: string, frame: Frame, channel: Channel): void {
     const handle = this.#handlers[frame.type] as ((host: string, frame: Frame, channel: Channel) => void) | undefined
     handle?.(host, frame, channel)
   }
 
-  /** News by the side process at `teller`. Those of a source that was given up may lack what went before. */
-  #hold (teller: string, frame: HoldingFrame): void {
+  /**
+   * Applies an update that arrived from the side process at `source`. Updates from a source no longer selected are dropped, since
+   * they may be incremental to updates that this entry did not get.
+   */
+  #handleUpdate (source: string, frame: HoldingFrame): void {
     const engine = this.#engines.get(frame.host)
-    if (engine === undefined || this.#sources.of(frame.host) !== teller) return
+    if (engine === undefined || this.#sources.of(frame.host) !== source) return
     engine.mirror.apply(frame)
     engine.link.held(Object.keys(frame.came ?? {}))
-    this.#tell(frame.host, engine)
+    this.#applyReport(frame.host, engine)
     if (frame.came !== undefined) this.options.changed(Object.keys(frame.came))
   }
 
-  #arrived (host: string, key: string, version: number): void {
+  /** Handles an early notice that the engine has loaded an adapter. */
+  #handleLoaded (host: string, key: string, version: number): void {
     const engine = this.#engines.get(host)
     if (engine === undefined) return
     engine.mirror.recordLoaded(key, version)
@@ -297,22 +311,22 @@
     this.options.changed([key])
   }
 
-  /** Gives what is known of the engine to its state. */
-  #tell (host: string, { link, mirror }: Engine): void {
+  /** Applies the engine's copied state to the state that servers are selected by. */
+  #applyReport (host: string, { link, mirror }: LinkedEngine): void {
     const server = this.#serverAt(host, mirror.server)
     if (server === undefined) return
     const { reachable, held, coming, waiting, running, unread, bornAt, leaving } = mirror
     if (leaving && mirror.server === server.id) this.options.facts.markDraining({ id: server.id, bornAt }, `the side process at ${host}`)
-    // What this entry itself told of is known here better.
-    const others = Math.max(0, unread - link.toldUnread)
-    this.options.states.applyReport(server.id, { at: nowMs(), reachable, held, coming: new Set(coming), waiting, running, unread: others }, bornAt)
+    // Unprefilled prompt tokens of this entry's own requests are counted here, and more precisely.
+    const othersUnread = Math.max(0, unread - link.toldUnread)
+    this.options.states.applyReport(server.id, { at: nowMs(), reachable, held, coming: new Set(coming), waiting, running, unread: othersUnread }, bornAt)
   }
 
-  /** The engine that a side process tells of: the one that it names, or the last listed at its host. */
+  /** The engine that an update is about: the one with the id that it gives, or else the last one listed at its host. */
   #serverAt (host: string, id: string | undefined): BackendServer | undefined {
     const { facts } = this.options
-    const named = id === undefined ? undefined : facts.servers.get(id)
-    if (named !== undefined && hostOf(named.address) === host) return named
+    const identified = id === undefined ? undefined : facts.servers.get(id)
+    if (identified !== undefined && hostOf(identified.address) === host) return identified
     return [...facts.servers.values()].findLast(server => hostOf(server.address) === host)
   }
 }
--- a/packages/fleet/src/entry/store-watch.ts
+++ b/packages/fleet/src/entry/store-watch.ts
@@ -1,5 +1,6 @@
 /**
- * An entry's watching of the platform's store: it begins and rests as its duty says, and tells how it sees the store.
+ * An entry's watch of the platform's store: starts and pauses it according to the entry's duty (`watch-duty.ts`), and reports the
+ * entry's access to the store to its peers.
  */
 import type { Log } from '@finchpitch/core'
 import type { Appointment, StoreSight } from '@finchpitch/wire'
@@ -14,70 +15,72 @@
 import { TableProver } from './table-prover.js'
 import { dutyOf, type DutyView } from './watch-duty.js'
 
-/** An entry that the store did not answer isn't named again for this long: it would fail once more, and others would wait for it. */
+/** An entry that the store did not answer is not appointed again for this long: it would fail once more while others depend on it. */
 const blindMs = 5000
 
 export interface StoreWatchOptions {
   sources: FactSource[]
   facts: Facts
   log: Log
+  /** How long to pause after a call. */
   restMs: (kind: Fact['kind']) => number
-  /** No proof of late that the table is the newest, where one is needed. */
+  /** Whether a recent proof that the routing table is current is needed and missing. */
   unproven: () => boolean
-  /** What side processes near that answer last said. */
+  /** The last appointment from each responsive local side process. */
   appointments: () => readonly Appointment[]
-  /** The duty began or ended. */
+  /** Called when the duty to watch begins or ends. */
   changed: () => void
 }
 
 export class StoreWatch {
-  readonly #turn = new DutySwitch()
-  readonly #outage = new StoreHealth()
+  readonly #duty = new DutySwitch()
+  readonly #health = new StoreHealth()
+  /** Until when this entry reports that the store does not answer it. */
   #blindUntil = -Infinity
   #prover: TableProver | undefined
 
   constructor (private readonly options: StoreWatchOptions) {}
 
   get watching (): boolean {
-    return this.#turn.on
+    return this.#duty.on
   }
 
   run (signal: AbortSignal): void {
     const { sources, facts, log, restMs } = this.options
     const table = sources.find(source => source.kind === 'table')
     if (table !== undefined) this.#prover = new TableProver(table, facts, signal)
-    for (const source of sources) void watchFacts({ source, facts, log, signal, outage: this.#outage, duty: this.#turn, pauseMs: restMs })
+    for (const source of sources) void watchFacts({ source, facts, log, signal, outage: this.#health, duty: this.#duty, pauseMs: restMs })
   }
 
-  /** Gets a proof that the table is the newest from the store, unless there is a young one or the store is left to others. */
+  /** If this entry watches the store, gets a proof from there that the routing table is current, unless it has a recent one. */
   async prove (): Promise<void> {
-    if (this.#turn.on) await this.#prover?.prove()
+    if (this.#duty.on) await this.#prover?.prove()
   }
 
-  /** Looks at the duty anew. */
+  /** Updates the duty and the reported store access. */
   check (): void {
     const { facts, appointments, unproven } = this.options
-    this.#setDuty({ appointments: appointments(), read: facts.hasSynced, confirmedMs: nowMs() - facts.serversConfirmedAt, unproven: unproven() })
+    this.#updateDuty({ appointments: appointments(), read: facts.hasSynced, confirmedMs: nowMs() - facts.serversConfirmedAt, unproven: unproven() })
     facts.setSight(this.#sight())
   }
 
-  #setDuty (view: DutyView): void {
-    const { watch, reason } = dutyOf(view)
-    if (watch === this.#turn.on) return
-    this.options.log.info('store.duty_changed', { watch, reason, confirmedMs: Math.round(view.confirmedMs), ...revisionFields(this.options.facts.revision) })
-    this.#turn.setActive(watch)
-    // What was learned while others watched goes to the side processes before they are told of the new sight, since they
-    // take the word of one that reads for complete.
+  #updateDuty (input: DutyView): void {
+    const { watch, reason } = dutyOf(input)
+    if (watch === this.#duty.on) return
+    this.options.log.info('store.duty_changed', { watch, reason, confirmedMs: Math.round(input.confirmedMs), ...revisionFields(this.options.facts.revision) })
+    this.#duty.setActive(watch)
+    // What this entry learned while others watched is sent to the side processes before the new sight is, since they take
+    // everything that an entry which reads the store reports as complete.
     this.options.changed()
   }
 
   #sight (): StoreSight {
     const now = nowMs()
-    const { failing, answered } = this.#outage
-    // Where the store answers nobody, those named go on asking; the others would each ask again every 5 s.
+    const { failing, answered } = this.#health
+    // During an outage the appointed entries keep calling the store. The others stay blind, or each would retry every 5 s.
     const outage = now < this.#blindUntil && this.options.appointments().some(each => each.outage)
     if (failing || outage) this.#blindUntil = now + blindMs
-    if (this.#turn.on && answered && !failing) return this.options.facts.hasSynced ? 'reading' : 'resting'
+    if (this.#duty.on && answered && !failing) return this.options.facts.hasSynced ? 'reading' : 'resting'
     return now < this.#blindUntil ? 'blind' : 'resting'
   }
 }
--- a/packages/fleet/src/entry/table-confirmation.ts
+++ b/packages/fleet/src/entry/table-confirmation.ts
@@ -1,8 +1,9 @@
 /**
- * Whether the routing table is proved to be current: to hold every change that has to be in force by now.
+ * Whether the routing table is proven current, which means that it holds every change that has to be in force by now.
  *
- * A 404 or 401 tells a caller not to retry, so it is given only from a current table. An entry that reads the store has a proof
- * anyway; the others ask a side process near. Requests that wait for a proof at the same time share one question.
+ * A 404 or 401 tells a caller not to retry, so it is sent only if the table is proven current. An entry that watches the store
+ * usually has a recent proof; the others ask a local side process. Requests that wait for a proof at the same time share one
+ * question.
  */
 import { pause } from '@finchpitch/core'
 import { nowMs } from '../clock.js'
@@ -11,8 +12,8 @@
 import type { SideLinks } from './side-links.js'
 import type { StoreWatch } from './store-watch.js'
 
-/** The least time between two questions. */
-const askMs = 100
+/** Minimum interval between requests for a proof. */
+const requestIntervalMs = 100
 
 export interface TableConfirmationOptions {
   facts: Facts
@@ -22,35 +23,38 @@
 }
 
 export class TableConfirmation {
-  #askedAt = -Infinity
+  #requestedAt = -Infinity
 
   constructor (private readonly options: TableConfirmationOptions) {}
 
-  /** For a request that came at `at`, on the elapsed clock. */
+  /** Whether the table is proven current for a request that arrived at `at`, on the boot-time clock. */
   isCurrent (at: number): boolean {
     const { facts, limits } = this.options
     const { applyMs } = limits()
     return applyMs === undefined || facts.freshness.provenAt >= at - applyMs
   }
 
-  /** Asks for a proof; resolves with the next one, with another table, or after `mostMs` at the latest. */
+  /** Requests a proof. Resolves with the next proof or the next table, or after `mostMs` or the request interval, whichever is shorter. */
   async nextProof (mostMs: number): Promise<void> {
     const { facts } = this.options
-    const came = new AbortController()
-    const forget = [
-      facts.onChange(({ kind }) => { if (kind === 'table') came.abort() }),
-      facts.freshness.onProof(() => came.abort())
+    const arrived = new AbortController()
+    const unsubscribe = [
+      facts.onChange(({ kind }) => { if (kind === 'table') arrived.abort() }),
+      facts.freshness.onProof(() => arrived.abort())
     ]
-    this.#ask()
-    await pause(Math.min(mostMs, askMs), came.signal)
-    for (const each of forget) each()
+    this.#requestProof()
+    await pause(Math.min(mostMs, requestIntervalMs), arrived.signal)
+    for (const each of unsubscribe) each()
   }
 
-  /** A watching entry without a proof is not answered by the store, and side processes near may depend on it; so it asks elsewhere too. */
-  #ask (): void {
+  /**
+   * If an entry that watches the store has no proof, the store does not answer it, and local side processes may depend on this
+   * entry; so it also asks remote ones.
+   */
+  #requestProof (): void {
     const { links, watch } = this.options
-    if (nowMs() - this.#askedAt < askMs) return
-    this.#askedAt = nowMs()
+    if (nowMs() - this.#requestedAt < requestIntervalMs) return
+    this.#requestedAt = nowMs()
     void watch.prove()
     links.askFresh(watch.watching)
   }
--- a/packages/fleet/src/entry/watch-duty.ts
+++ b/packages/fleet/src/entry/watch-duty.ts
@@ -1,25 +1,25 @@
 /**
- * Whether an entry watches the platform's store itself: a plain function.
+ * Decides whether an entry watches the platform's store itself. Pure function.
  *
- * Load pattern: every call to the store counts, a waiting watch too, and its rates grow more slowly than the fleet. 68
- * entries that watch three kinds each made 4,220 calls in a calm minute. So a few of each failure domain watch, named by
- * the side processes there, and the others are told at once. Two views of who watches cost calls and nothing else; an
- * entry that is in doubt watches.
+ * The store meters every call, including watch calls that wait, and its rate limits grow more slowly than the fleet. When 68
+ * entries each watched three kinds of facts, they made 4,220 calls in a minute without changes. So a few entries of each failure
+ * domain watch, appointed by the side processes there, and the others are sent every change at once. If processes disagree about
+ * who watches, that only costs calls; an entry in doubt watches.
  */
 
 import type { Appointment } from '@finchpitch/wire'
 
-/** Longer than a watch waits, rests and is heard of through a side process: 1.5 s, 2.4 s and 1.1 s at most. */
+/** Longer than a watch call waits, pauses, and is reported through a side process: 1.5 s, 2.4 s and 1.1 s at most. */
 const staleMs = 6000
 
 export interface DutyView {
-  /** What each side process near that answers last said. */
+  /** The last appointment from each responsive local side process. */
   appointments: ReadonlyArray<Pick<Appointment, 'watch' | 'outage'>>
-  /** All kinds were read, here or by a peer that told all. */
+  /** Whether every kind of fact has been received completely, from the store or from a peer. */
   read: boolean
-  /** Since the list of servers was known to be complete. */
+  /** Time since the list of servers was last confirmed to be complete. */
   confirmedMs: number
-  /** No proof of late that the table is the newest, where one is needed. */
+  /** Whether a recent proof that the routing table is current is needed and missing. */
   unproven: boolean
 }
 
@@ -32,7 +32,7 @@
   if (appointments.length === 0) return { watch: true, reason: 'nobody near to name watchers' }
   if (appointments.some(({ watch }) => watch)) return { watch: true, reason: 'named' }
   if (!read) return { watch: true, reason: 'nothing read yet' }
-  // In an outage there is nothing to be heard, and every entry that asks is one more call in vain.
+  // During an outage the store has nothing to tell, and each further entry that watches only adds calls that fail.
   const outage = appointments.some(each => each.outage)
   if (confirmedMs > staleMs && !outage) return { watch: true, reason: 'nothing was confirmed' }
   if (unproven && !outage) return { watch: true, reason: 'keys are not confirmed' }
--- a/packages/fleet/test/news-sources.test.ts
+++ b/packages/fleet/test/news-sources.test.ts
@@ -3,39 +3,39 @@
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-const near = Array.from({ length: 11 }, (_, each) => `10.1.0.${each}`)
-const far = Array.from({ length: 43 }, (_, each) => `10.2.0.${each}`)
+const localHosts = Array.from({ length: 11 }, (_, each) => `10.1.0.${each}`)
+const remoteHosts = Array.from({ length: 43 }, (_, each) => `10.2.0.${each}`)
 
-describe('from whom news of engines come', () => {
-  it('is the engine\'s own side process near, and one near for each far engine', () => {
-    const sources = newsSources({ near, far })
-    for (const host of near) expect(sources.get(host)).to.equal(host)
-    for (const host of far) expect(near).to.include(sources.get(host))
+describe('the sources of engine updates', () => {
+  it('are the own side process of a local engine, and a local side process for each remote one', () => {
+    const sources = newsSources({ near: localHosts, far: remoteHosts })
+    for (const host of localHosts) expect(sources.get(host)).to.equal(host)
+    for (const host of remoteHosts) expect(localHosts).to.include(sources.get(host))
   })
 
-  it('is the same for all entries of a domain, whatever order they learned in', () => {
-    expect(newsSources({ near: [...near].reverse(), far })).to.deep.equal(newsSources({ near, far }))
+  it('are the same for all entries of a domain, in whatever order they learned of the hosts', () => {
+    expect(newsSources({ near: [...localHosts].reverse(), far: remoteHosts })).to.deep.equal(newsSources({ near: localHosts, far: remoteHosts }))
   })
 
-  it('spreads far engines over side processes near', () => {
+  it('spread remote engines over the local side processes', () => {
     const counts = new Map<string, number>()
-    const sources = newsSources({ near, far })
-    for (const host of far) counts.set(sources.get(host) ?? '', (counts.get(sources.get(host) ?? '') ?? 0) + 1)
+    const sources = newsSources({ near: localHosts, far: remoteHosts })
+    for (const host of remoteHosts) counts.set(sources.get(host) ?? '', (counts.get(sources.get(host) ?? '') ?? 0) + 1)
     expect(Math.max(...counts.values())).to.be.at.most(12)
   })
 
-  it('changes only for the engines of a side process that is lost', () => {
-    const before = newsSources({ near, far })
-    const lost = near[4] ?? ''
-    const after = newsSources({ near: near.filter(host => host !== lost), far })
-    for (const host of far) if (before.get(host) !== lost) expect(after.get(host)).to.equal(before.get(host))
+  it('change only for the engines of a side process that is lost', () => {
+    const before = newsSources({ near: localHosts, far: remoteHosts })
+    const lost = localHosts[4] ?? ''
+    const after = newsSources({ near: localHosts.filter(host => host !== lost), far: remoteHosts })
+    for (const host of remoteHosts) if (before.get(host) !== lost) expect(after.get(host)).to.equal(before.get(host))
   })
 
-  it('is each engine\'s own side process where none is near', () => {
-    for (const [host, source] of newsSources({ near: [], far })) expect(source).to.equal(host)
+  it('are each engine\'s own side process if there is no local one', () => {
+    for (const [host, source] of newsSources({ near: [], far: remoteHosts })) expect(source).to.equal(host)
   })
 
-  describe('in the course of time', () => {
+  describe('as hosts change', () => {
     let time: FakeTime
     let sources: NewsSources
 
@@ -46,48 +46,48 @@
 
     afterEach(() => time.restore())
 
-    it('is chosen once side processes near have stopped coming', async () => {
-      for (let each = 1; each <= near.length; each++) {
-        expect(sources.choose({ near: near.slice(0, each), far })).to.equal(false)
+    it('are selected once no more local side processes connect', async () => {
+      for (let each = 1; each <= localHosts.length; each++) {
+        expect(sources.choose({ near: localHosts.slice(0, each), far: remoteHosts })).to.equal(false)
         await time.pass(100)
       }
-      expect(sources.choose({ near, far })).to.equal(false)
+      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(false)
       await time.pass(200)
-      expect(sources.choose({ near, far })).to.equal(true)
-      expect(sources.choose({ near, far })).to.equal(false)
-      expect(near).to.include(sources.of(far[0] ?? ''))
+      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(true)
+      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(false)
+      expect(localHosts).to.include(sources.of(remoteHosts[0] ?? ''))
     })
 
     /*
-     * Links are looked after every 200 ms by timers, which may come a little early by the steady clock: with a settling time of
-     * just as long, one such look in a row cost another 200 ms, and news of a frozen side process came 1.6 s after it.
+     * Sources are checked every 200 ms by a timer, which may fire slightly early by the monotonic clock. When hosts had to be stable
+     * for just as long, an early check cost another 200 ms, and updates relayed by a frozen side process resumed after 1.6 s.
      */
-    it('is chosen with the second look, though that comes a little early', async () => {
-      sources.choose({ near, far })
+    it('are selected at the second check, even if it is slightly early', async () => {
+      sources.choose({ near: localHosts, far: remoteHosts })
       await time.pass(300)
-      expect(sources.choose({ near, far })).to.equal(true)
-      const left = near.slice(1)
-      expect(sources.choose({ near: left, far })).to.equal(false)
+      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(true)
+      const remaining = localHosts.slice(1)
+      expect(sources.choose({ near: remaining, far: remoteHosts })).to.equal(false)
       await time.pass(199)
-      expect(sources.choose({ near: left, far })).to.equal(true)
+      expect(sources.choose({ near: remaining, far: remoteHosts })).to.equal(true)
     })
 
-    it('is each engine\'s own side process once none near has answered for a second', async () => {
-      sources.choose({ near, far })
+    it('are each engine\'s own side process once no local one has responded for a second', async () => {
+      sources.choose({ near: localHosts, far: remoteHosts })
       await time.pass(300)
-      sources.choose({ near, far })
-      const passed: number[] = []
+      sources.choose({ near: localHosts, far: remoteHosts })
+      const selectedAtMs: number[] = []
       for (let ms = 0; ms <= 2000; ms += 100) {
-        if (sources.choose({ near: [], far }) && sources.of(far[0] ?? '') === far[0]) passed.push(ms)
+        if (sources.choose({ near: [], far: remoteHosts }) && sources.of(remoteHosts[0] ?? '') === remoteHosts[0]) selectedAtMs.push(ms)
         await time.pass(100)
       }
-      expect(sources.toldBy(far[0] ?? '', false)).to.deep.equal([far[0]])
-      expect(passed.at(-1)).to.be.within(1000, 1400)
+      expect(sources.toldBy(remoteHosts[0] ?? '', false)).to.deep.equal([remoteHosts[0]])
+      expect(selectedAtMs.at(-1)).to.be.within(1000, 1400)
     })
 
-    it('is its own engine alone for a side process near while nothing is chosen', () => {
-      expect(sources.toldBy(near[0] ?? '', true)).to.deep.equal([near[0]])
-      expect(sources.toldBy(far[0] ?? '', false)).to.deep.equal([])
+    it('are, before the first selection, only the own side processes of local engines', () => {
+      expect(sources.toldBy(localHosts[0] ?? '', true)).to.deep.equal([localHosts[0]])
+      expect(sources.toldBy(remoteHosts[0] ?? '', false)).to.deep.equal([])
     })
   })
 })
--- a/packages/fleet/test/side-links.test.ts
+++ b/packages/fleet/test/side-links.test.ts
@@ -10,14 +10,14 @@
   let time: FakeTime
   let links: SideLinks
   let sides: Map<string, Channel>
-  let changes: number
+  let appointmentChanges: number
 
   const sideAt = (host: string): Channel => sides.get(host) ?? expect.fail(`no channel to ${host}`)
 
   beforeEach(async () => {
     time = new FakeTime()
     sides = new Map()
-    changes = 0
+    appointmentChanges = 0
     links = new SideLinks({
       process: 'entry',
       domain: 'a',
@@ -26,11 +26,11 @@
       sidePort: 7,
       channel: channelOptions('entry'),
       dial: async address => {
-        const [near, far] = duplexPair()
-        const side = new Channel(far, channelOptions(`side-${address.split(':')[0]}`))
+        const [entryEnd, sideEnd] = duplexPair()
+        const side = new Channel(sideEnd, channelOptions(`side-${address.split(':')[0]}`))
         sides.set(address.split(':')[0] ?? '', side)
         void (async () => { for await (const frame of side.frames()) void frame })()
-        return near
+        return entryEnd
       },
       log: quietLog,
       watching: () => false,
@@ -40,7 +40,7 @@
       crashes: () => {},
       crashesNoted: () => {},
       joinedNear: () => {},
-      appointmentsChanged: () => { changes += 1 }
+      appointmentsChanged: () => { appointmentChanges += 1 }
     })
     links.reconcile([engineAt('10.0.0.1'), engineAt('10.0.0.2')])
     await time.settle(10)
@@ -53,20 +53,20 @@
     time.restore()
   })
 
-  it('tell at once of a side process that named watchers and is lost', async () => {
+  it('report at once that a side process which sent an appointment is lost', async () => {
     expect(links.appointments).to.have.length(2)
-    changes = 0
+    appointmentChanges = 0
     sideAt('10.0.0.1').close()
     await time.settle(10)
-    expect(changes).to.equal(1)
+    expect(appointmentChanges).to.equal(1)
     expect(links.appointments).to.have.length(1)
   })
 
-  it('tell at once of being named', async () => {
-    changes = 0
+  it('report an appointment at once', async () => {
+    appointmentChanges = 0
     sideAt('10.0.0.1').send({ type: 'appoint', watch: true, outage: false })
     await time.settle(10)
-    expect(changes).to.equal(1)
+    expect(appointmentChanges).to.equal(1)
     expect(links.appointments.filter(({ watch }) => watch)).to.have.length(1)
   })
 })
--- a/packages/fleet/test/store-watch.test.ts
+++ b/packages/fleet/test/store-watch.test.ts
@@ -2,82 +2,82 @@
 import { FleetSystem, askFleet, eventually, type Machine } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-const settleMs = 3500
-let sent = 0
+const startupMs = 3500
+let requestCount = 0
 
-describe('few entries of a domain watch the store', function () {
+describe('watching the store by a few entries of each domain', function () {
   this.timeout(60_000)
   let fleet: FleetSystem
 
   const status = async (path: string, entry: number): Promise<number> =>
-    (await askFleet(fleet, { path, id: `watch-${sent++}`, entry })).status
+    (await askFleet(fleet, { path, id: `watch-${requestCount++}`, entry })).status
 
-  const watching = (entry: Machine): boolean =>
+  const isWatching = (entry: Machine): boolean =>
     fleet.lines(entry).filter(line => line.event === 'store.duty_changed').at(-1)?.watch !== false
-  const watchers = (): string[] => fleet.entries.filter(entry => entry.process?.exitCode === null && entry.process.signalCode === null && watching(entry)).map(entry => entry.name)
+  const watchers = (): string[] => fleet.entries.filter(entry => entry.process?.exitCode === null && entry.process.signalCode === null && isWatching(entry)).map(entry => entry.name)
 
-  /** How long until all entries of `entries` serve a route that was just added. */
+  /** Adds a route and measures the time until all the given entries serve it. */
   const msUntilAllServe = async (name: string, entries: readonly number[]): Promise<number> => {
     const added = { name, host: 'fleet.example', pathPrefix: `/${name}/`, kind: 'non_idempotent', timeoutMs: 1000, targetLatencyMs: 150, priority: 2, service: 'ledger', maxAttempts: 1 }
     const { routes } = fleet.table(1) as { routes: unknown[] }
     fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, { routes: [...routes, added] }))
-    const started = Date.now()
-    while (Date.now() - started < 10_000) {
+    const startedAt = Date.now()
+    while (Date.now() - startedAt < 10_000) {
       const all = await Promise.all(entries.map(async entry => await status(`/${name}/x`, entry)))
       if (all.every(each => each === 200)) break
       await pause(50)
     }
-    return Date.now() - started
+    return Date.now() - startedAt
   }
 
   beforeEach(async () => {
     fleet = new FleetSystem({ network: 35, domains: 1, entriesPerDomain: 6, enginesPerDomain: 2, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 3, eventMs: 5 })
     await fleet.start()
-    await pause(settleMs)
+    await pause(startupMs)
   })
 
   afterEach(async () => { await fleet.stop() })
 
-  it('and all learn of a change within a second', async () => {
+  it('spreads a change to all entries within a second', async () => {
     expect(watchers()).to.have.length(3)
     expect(await msUntilAllServe('added', [0, 1, 2, 3, 4, 5])).to.be.lessThan(1000)
   })
 
-  it('and it stays with them while nothing changes in the store', async () => {
+  it('stays with the same number of entries while nothing changes in the store', async () => {
     await pause(7000)
     expect(watchers()).to.have.length(3)
   })
 
-  it('and others take over from those that are killed', async () => {
+  it('passes to other entries if the watchers are killed', async () => {
     for (const entry of fleet.entries.filter(entry => watchers().includes(entry.name))) await fleet.kill(entry)
-    const left = fleet.entries.flatMap((entry, at) => entry.process?.signalCode === null ? [at] : [])
-    expect(left).to.have.length(3)
-    expect(await msUntilAllServe('killed', left)).to.be.lessThan(2500)
+    const remaining = fleet.entries.flatMap((entry, at) => entry.process?.signalCode === null ? [at] : [])
+    expect(remaining).to.have.length(3)
+    expect(await msUntilAllServe('killed', remaining)).to.be.lessThan(2500)
     await eventually('three watch again', () => watchers().length === 3, 1000)
   })
 
-  it('and others take over from those that freeze', async () => {
+  it('passes to other entries if the watchers freeze', async () => {
     const frozen = fleet.entries.filter(entry => watchers().includes(entry.name))
     for (const entry of frozen) entry.process?.kill('SIGSTOP')
-    const left = fleet.entries.flatMap((entry, at) => frozen.includes(entry) ? [] : [at])
-    expect(await msUntilAllServe('frozen', left)).to.be.lessThan(3500)
+    const remaining = fleet.entries.flatMap((entry, at) => frozen.includes(entry) ? [] : [at])
+    expect(await msUntilAllServe('frozen', remaining)).to.be.lessThan(3500)
     for (const entry of frozen) entry.process?.kill('SIGCONT')
   })
 
-  it('and all watch where no side process is left to name any', async () => {
+  it('is done by all entries if no side process is left to appoint watchers', async () => {
     for (const side of fleet.sides) await fleet.kill(side)
     await pause(300)
     expect(watchers()).to.have.length(6)
     expect(await msUntilAllServe('alone', [0, 1, 2, 3, 4, 5])).to.be.lessThan(2500)
   })
 
-  it('and none is asked in vain for long while the store is away', async () => {
+  it('is done by only a few entries during a store outage too', async () => {
     fleet.store.fault = 'busy'
-    // By then watches that hung have failed, and each entry was named once and failed.
+    // By then, watch calls that hung have failed, and each entry has been appointed once and has failed.
     await pause(4500)
     const before = fleet.store.calls
     await pause(6000)
-    // Three watchers and three kinds, each 0.4 to 0.8 s after the last call: 90. All six would make 180.
+    // Three watchers call for three kinds of facts, each 0.4 to 0.8 s after its last call: 90 calls. All six entries would make 180.
     expect(fleet.store.calls - before).to.be.lessThan(120)
     fleet.store.fault = 'none'
     await pause(1500)
--- a/packages/fleet/test/watch-duty.test.ts
+++ b/packages/fleet/test/watch-duty.test.ts
@@ -1,62 +1,62 @@
 import { dutyOf, selectWatchers, type WatcherCandidate } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
-describe('who watches the platform\'s store', () => {
-  describe('as an entry sees it', () => {
-    const other = { watch: false, outage: false }
-    const view = { appointments: [other, other], read: true, confirmedMs: 300, unproven: false }
+describe('which entries watch the platform\'s store', () => {
+  describe('the duty of an entry', () => {
+    const notAppointed = { watch: false, outage: false }
+    const view = { appointments: [notAppointed, notAppointed], read: true, confirmedMs: 300, unproven: false }
 
-    it('is others, where side processes near say so', () => {
+    it('is not to watch if local side processes appoint others', () => {
       expect(dutyOf(view)).to.deep.equal({ watch: false, reason: 'left to others' })
     })
 
-    it('is itself, where any names it', () => {
-      expect(dutyOf({ ...view, appointments: [other, { watch: true, outage: false }] })).to.include({ watch: true, reason: 'named' })
+    it('is to watch if any side process appoints it', () => {
+      expect(dutyOf({ ...view, appointments: [notAppointed, { watch: true, outage: false }] })).to.include({ watch: true, reason: 'named' })
     })
 
-    it('is itself, where nobody near answers', () => {
+    it('is to watch if no local side process responds', () => {
       expect(dutyOf({ ...view, appointments: [] })).to.include({ watch: true })
     })
 
-    it('is itself, until everything was read', () => {
+    it('is to watch until every kind of fact has been received', () => {
       expect(dutyOf({ ...view, read: false })).to.include({ watch: true })
     })
 
-    it('is itself, where nothing was confirmed for long', () => {
+    it('is to watch if the list of servers has not been confirmed for long', () => {
       expect(dutyOf({ ...view, confirmedMs: 6500 })).to.include({ watch: true, reason: 'nothing was confirmed' })
     })
 
-    it('is itself, where keys have to be confirmed and nobody does', () => {
+    it('is to watch if keys need a proof and none arrives', () => {
       expect(dutyOf({ ...view, unproven: true })).to.include({ watch: true, reason: 'keys are not confirmed' })
     })
 
-    it('is others still, where keys have to be confirmed and none is answered by the store', () => {
+    it('is not to watch if keys need a proof but the store answers no entry', () => {
       expect(dutyOf({ ...view, appointments: [{ watch: false, outage: true }], unproven: true })).to.include({ watch: false })
     })
 
-    it('is others still, where none is answered by the store', () => {
+    it('is not to watch if nothing has been confirmed but the store answers no entry', () => {
       expect(dutyOf({ ...view, appointments: [{ watch: false, outage: true }], confirmedMs: 6500 })).to.include({ watch: false })
     })
   })
 
-  describe('as side processes name them', () => {
-    const entries = (more: Partial<WatcherCandidate>[] = []): WatcherCandidate[] =>
-      ['e', 'd', 'c', 'b', 'a'].map((process, at) => ({ process, silentMs: 100, sight: 'resting', ...more[at] }))
+  describe('the selection by side processes', () => {
+    const candidates = (overrides: Partial<WatcherCandidate>[] = []): WatcherCandidate[] =>
+      ['e', 'd', 'c', 'b', 'a'].map((process, at) => ({ process, silentMs: 100, sight: 'resting', ...overrides[at] }))
 
-    it('is the same three for all', () => {
-      expect([...selectWatchers(entries()).selected]).to.deep.equal(['a', 'b', 'c'])
-      expect(selectWatchers(entries().reverse())).to.deep.equal(selectWatchers(entries()))
+    it('is the same three entries at all side processes', () => {
+      expect([...selectWatchers(candidates()).selected]).to.deep.equal(['a', 'b', 'c'])
+      expect(selectWatchers(candidates().reverse())).to.deep.equal(selectWatchers(candidates()))
     })
 
-    it('is not one that is silent, or that the store does not answer', () => {
-      expect([...selectWatchers(entries([{}, {}, { silentMs: 1600 }, { sight: 'blind' }, {}])).selected]).to.deep.equal(['a', 'd', 'e'])
+    it('skips entries that are silent or that the store does not answer', () => {
+      expect([...selectWatchers(candidates([{}, {}, { silentMs: 1600 }, { sight: 'blind' }, {}])).selected]).to.deep.equal(['a', 'd', 'e'])
     })
 
-    it('is the first of those heard where the store answers none', () => {
-      const blind = entries(Array.from({ length: 5 }, () => ({ sight: 'blind' as const })))
+    it('is the first responsive entries if the store answers none', () => {
+      const blind = candidates(Array.from({ length: 5 }, () => ({ sight: 'blind' as const })))
       expect([...selectWatchers(blind).selected]).to.deep.equal(['a', 'b', 'c'])
       expect(selectWatchers(blind).outage).to.equal(true)
-      expect(selectWatchers(entries([{ sight: 'blind' }])).outage).to.equal(false)
+      expect(selectWatchers(candidates([{ sight: 'blind' }])).outage).to.equal(false)
     })
   })
 })
