--- a/packages/core/src/abort.ts
+++ b/packages/core/src/abort.ts
@@ -1,5 +1,5 @@
 /**
- * Waiting with an end: on the runtime's clock, so that tests pause and advance it.
+ * Delays and time-outs. They use the runtime's timers, so tests can replace the clock.
  */
 
 /** Resolves after `ms`, or at once when `signal` aborts. */
@@ -14,7 +14,7 @@
   signal?.addEventListener('abort', done)
 })
 
-/** A signal that aborts after `ms` or with `parent`; `clear` lets go of its timer. */
+/** A signal that aborts after `ms` or when `parent` aborts. `clear` releases its timer and its listener. */
 export interface Deadline {
   signal: AbortSignal
   clear: () => void
@@ -33,12 +33,12 @@
   return { signal: controller.signal, clear }
 }
 
-/** The promise's value, or `fallback` once `ms` have passed. */
+/** Resolves to the promise's value, or to `fallback` if it hasn't settled after `ms`. */
 export const within = async <T, F>(ms: number, promise: Promise<T>, fallback: F): Promise<T | F> => {
   let timer: NodeJS.Timeout | undefined
-  const late = new Promise<F>(resolve => { timer = setTimeout(resolve, ms, fallback) })
+  const timedOut = new Promise<F>(resolve => { timer = setTimeout(resolve, ms, fallback) })
   try {
-    return await Promise.race([promise, late])
+    return await Promise.race([promise, timedOut])
   } finally {
     clearTimeout(timer)
   }
--- a/packages/core/src/backoff.ts
+++ b/packages/core/src/backoff.ts
@@ -1,9 +1,9 @@
 /**
- * Backoff: how long to wait before another try, doubling to a limit, spread so that many processes which failed
- * together don't come back together.
+ * Exponential backoff with jitter. The jitter keeps processes that failed at the same moment from retrying at the same
+ * moment.
  */
 
-/** A number from 0 up to 1; seeded in tests. */
+/** Returns a number in [0, 1). Tests pass a seeded generator. */
 export type Random = () => number
 
 export interface BackoffSpan {
@@ -11,13 +11,13 @@
   limitMs: number
 }
 
-/** Some ten calls of a store that answers in milliseconds, and no longer than callers wait. */
+/** Starts at the duration of some ten store calls, which take milliseconds each, and stays below the time that callers wait. */
 const defaultSpan: BackoffSpan = { firstMs: 50, limitMs: 2000 }
-/** Beyond so many doublings every limit is reached. */
-const mostDoublings = 16
+/** Bounds the exponent; every limit in use is reached with fewer doublings. */
+const maxDoublings = 16
 
-/** `failures` that doubled the wait: 0 gives the first. */
+/** `failures` is the number of doublings; 0 gives the initial delay. The result is random, between half and all of the doubled delay. */
 export const backoff = (failures: number, random: Random = Math.random, { firstMs, limitMs }: BackoffSpan = defaultSpan): number => {
-  const span = Math.min(limitMs, firstMs * 2 ** Math.min(Math.max(0, failures), mostDoublings))
+  const span = Math.min(limitMs, firstMs * 2 ** Math.min(Math.max(0, failures), maxDoublings))
   return span * (0.5 + random() / 2)
 }
--- a/packages/core/src/configuration.ts
+++ b/packages/core/src/configuration.ts
@@ -1,8 +1,8 @@
 /**
- * The configuration: what operators declare, one schema with the types derived from it.
+ * The configuration that operators declare, as a schema and the types derived from it.
  *
- * `check` reads a whole document and gives every finding at once. References are checked after the shapes, so a
- * document with a broken team still has its adapters looked at.
+ * Validation does not stop at the first error. It reports all violations of the schema or, if there are none, all
+ * duplicate names and all references to teams, models and versions that are not declared.
  */
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
@@ -14,17 +14,17 @@
 const defaultConcurrency = 500
 
 export const Limits = z.strictObject({
-  /** Requests a second that one entry admits for the team. */
+  /** Requests per second that one entry admits for the team. */
   rate: z.number().positive().default(defaultRate),
-  /** Requests in progress at one entry. */
+  /** Maximum number of concurrent requests of the team at one entry. */
   concurrency: z.number().int().positive().default(defaultConcurrency)
 })
 
 export const Team = z.strictObject({
   name: TeamName,
-  /** SHA-256 of each bearer token, as hex: two while one is being rotated out. */
+  /** SHA-256 of each bearer token, in hex. There are several while a token is being rotated. */
   tokens: z.array(z.string().regex(/^[0-9a-f]{64}$/, 'expected a SHA-256 in hex')).max(4),
-  /** The team's share of a queue against the other teams'. */
+  /** Weight of the team in weighted fair queueing. */
   weight: z.number().positive().default(defaultWeight),
   limits: Limits.default({ rate: defaultRate, concurrency: defaultConcurrency })
 })
@@ -32,7 +32,7 @@
 
 export const Model = z.strictObject({
   name: ModelName,
-  /** Whether its engines refuse orders that carry an older fence. */
+  /** Whether its engines refuse orders with an outdated fencing token. */
   checksFences: z.boolean().default(true)
 })
 export type Model = z.infer<typeof Model>
@@ -41,7 +41,7 @@
   name: ServiceName,
   teams: z.array(TeamName).min(1),
   checksFences: z.boolean().default(false),
-  /** What a request that may not be repeated gets while the store is down: a refusal, or a ticket to come back with. */
+  /** Reply to a non-idempotent request while the store is down: a refusal, or a ticket with which the caller can retry. */
   onStoreOutage: z.enum(['refuse', 'ticket']).default('refuse')
 })
 export type Service = z.infer<typeof Service>
@@ -52,7 +52,7 @@
   model: ModelName,
   versions: z.array(z.strictObject({ version: AdapterVersion, source: z.string().min(1).max(500) })).min(1),
   aliases: z.record(AliasName, AdapterVersion).default({}),
-  /** The alias or version that a request without either gets. */
+  /** The alias or version used for requests that name neither. */
   default: z.string().min(1)
 })
 export type Adapter = z.infer<typeof Adapter>
@@ -77,18 +77,18 @@
 }
 
 const checkAdapter = (adapter: Adapter, path: string, teams: Set<string>, models: Set<string>): Finding[] => {
-  const found: Finding[] = []
+  const findings: Finding[] = []
   const versions = new Set<string>(adapter.versions.map(each => each.version))
-  if (!teams.has(adapter.team)) found.push(finding('unknown_team', `${path}.team`, adapter.team))
-  if (!models.has(adapter.model)) found.push(finding('unknown_model', `${path}.model`, adapter.model))
-  found.push(...duplicates(`${path}.versions`, adapter.versions.map(each => each.version)))
+  if (!teams.has(adapter.team)) findings.push(finding('unknown_team', `${path}.team`, adapter.team))
+  if (!models.has(adapter.model)) findings.push(finding('unknown_model', `${path}.model`, adapter.model))
+  findings.push(...duplicates(`${path}.versions`, adapter.versions.map(each => each.version)))
   for (const [alias, version] of Object.entries(adapter.aliases)) {
-    if (!versions.has(version)) found.push(finding('unknown_version', `${path}.aliases.${alias}`, version))
-    if (versions.has(alias)) found.push(finding('duplicate_name', `${path}.aliases.${alias}`, `${alias} (a version's name)`))
+    if (!versions.has(version)) findings.push(finding('unknown_version', `${path}.aliases.${alias}`, version))
+    if (versions.has(alias)) findings.push(finding('duplicate_name', `${path}.aliases.${alias}`, `${alias} (a version's name)`))
   }
-  const known = versions.has(adapter.default) || adapter.default in adapter.aliases
-  if (!known) found.push(finding('unknown_version', `${path}.default`, adapter.default))
-  return found
+  const isKnown = versions.has(adapter.default) || adapter.default in adapter.aliases
+  if (!isKnown) findings.push(finding('unknown_version', `${path}.default`, adapter.default))
+  return findings
 }
 
 const checkReferences = (configuration: Configuration): Finding[] => {
@@ -106,7 +106,7 @@
   ]
 }
 
-/** Checks a whole document; on a fault every finding is given, with its path. */
+/** Validates a document. Returns the parsed configuration, or all findings with their paths. */
 export const check = (document: unknown): Result<Configuration, Finding[]> => {
   const parsed = Configuration.safeParse(document)
   if (!parsed.success) return err(findingsOf(parsed.error))
@@ -114,9 +114,9 @@
   return findings.length === 0 ? ok(parsed.data) : err(findings)
 }
 
-/** The exact version that a version, an alias or nothing stands for. */
-export const versionOf = (adapter: Adapter, asked: string | undefined): AdapterVersion | undefined => {
-  const wanted = asked ?? adapter.default
-  const aliased = Object.hasOwn(adapter.aliases, wanted) ? adapter.aliases[wanted as AliasName] : wanted
-  return adapter.versions.find(each => each.version === aliased)?.version
+/** Resolves a version, an alias or, if neither is given, the default to an exact version; `undefined` if it is not declared. */
+export const versionOf = (adapter: Adapter, requested: string | undefined): AdapterVersion | undefined => {
+  const name = requested ?? adapter.default
+  const resolved = Object.hasOwn(adapter.aliases, name) ? adapter.aliases[name as AliasName] : name
+  return adapter.versions.find(each => each.version === resolved)?.version
 }
--- a/packages/core/src/failure.ts
+++ b/packages/core/src/failure.ts
@@ -1,13 +1,14 @@
 /**
- * Failures: how a request that brought no answer is told to its caller.
+ * Failures: what a caller is told when a request got no complete response.
  *
- * `outcome` is the promise to the caller. `not_run` is said only by the one who could have run the request and
- * now never will, or before anybody could; everything that is not proved is `unknown`.
+ * `outcome` states whether the request may have taken effect. `not_run` is a guarantee that it did not and won't. Only
+ * a process that could have run the request and now never will may give it, or any process before the request was sent
+ * on. Whatever can't be proved is `unknown`.
  */
 import * as z from 'zod'
 import { RequestKey, Revision } from './id.js'
 
-interface FailureText {
+interface FailureDefinition {
   status: number
   message: string
 }
@@ -44,7 +45,7 @@
   deadline: { status: 504, message: 'The deadline passed before the whole answer came. Ask again with the same key, or check whether the request took effect.' },
   cancelled: { status: 499, message: 'The caller ended the request.' },
   internal: { status: 500, message: 'The process met a fault of its own.' }
-} satisfies Record<string, FailureText>
+} satisfies Record<string, FailureDefinition>
 
 export type FailureCode = keyof typeof failureTexts
 
@@ -54,22 +55,22 @@
   code: FailureCode,
   outcome: z.enum(['not_run', 'unknown']),
   detail: z.string().max(2000).optional(),
-  /** When asking again makes sense, in milliseconds. */
+  /** When a retry makes sense, in milliseconds from now. */
   retryAfterMs: z.number().nonnegative().optional(),
-  /** A key to come back with, bound to one process and independent of the store. */
+  /** A key for retries that is bound to one process, so that they don't need the store. */
   ticket: RequestKey.optional(),
-  /** With `stale_revision`: the revision that the refusing process holds. */
+  /** With `stale_revision`: the configuration revision of the refusing process. */
   revision: Revision.optional()
 })
 export type Failure = z.infer<typeof Failure>
 
 export type FailureDetail = Partial<Omit<Failure, 'code' | 'outcome'>>
 
-export const notRun = (code: FailureCode, more: FailureDetail = {}): Failure => ({ code, outcome: 'not_run', ...more })
+export const notRun = (code: FailureCode, details: FailureDetail = {}): Failure => ({ code, outcome: 'not_run', ...details })
 
-export const unknown = (code: FailureCode, more: FailureDetail = {}): Failure => ({ code, outcome: 'unknown', ...more })
+export const unknown = (code: FailureCode, details: FailureDetail = {}): Failure => ({ code, outcome: 'unknown', ...details })
 
-/** A refusal given before the key was looked up: this try was not run, and nothing is known of earlier ones. */
+/** Converts a refusal from before the key was looked up: this attempt was not run, but an earlier one with its key may have been. */
 export const untried = (failure: Failure): Failure => {
   const detail = `${failure.detail ?? ''} This try was not run; an earlier one with its key may have been.`.trim()
   return { ...failure, outcome: 'unknown', detail }
--- a/packages/core/src/finding.ts
+++ b/packages/core/src/finding.ts
@@ -1,7 +1,8 @@
 /**
- * Findings: what a check found wrong, each with its code, place and message.
+ * Findings: the errors that validation reports, each with a code, a path and a message.
  *
- * A check never stops at the first fault. Codes are a closed set; `messages` is the one table of their texts.
+ * Validation does not stop at the first error, so that an operator sees all of them at once. The codes are a closed set,
+ * and their messages are defined in the table below.
  */
 import type { z } from 'zod'
 
@@ -20,7 +21,7 @@
 
 export interface Finding {
   code: FindingCode
-  /** Where: a file and line, a flag, or a path into a document. */
+  /** Location: a file and line, a flag, or a path into a document. */
   path: string
   message: string
 }
@@ -28,12 +29,12 @@
 export const finding = (code: FindingCode, path: string, detail: string): Finding =>
   ({ code, path, message: messages[code](detail) })
 
-const join = (prefix: string, path: PropertyKey[]): string =>
+const joinPath = (prefix: string, path: PropertyKey[]): string =>
   [prefix, ...path.map(String)].filter(part => part !== '').join('.')
 
-/** Turns a schema's issues into findings below `prefix`. */
+/** Converts a schema's issues to findings, with `prefix` prepended to their paths. */
 export const findingsOf = (error: z.ZodError, prefix = ''): Finding[] =>
-  error.issues.map(issue => finding('invalid_value', join(prefix, issue.path), issue.message))
+  error.issues.map(issue => finding('invalid_value', joinPath(prefix, issue.path), issue.message))
 
 export const printFindings = (findings: Finding[]): string =>
   findings.map(({ code, path, message }) => `${path}: ${message} [${code}]`).join('\n')
--- a/packages/core/src/id.ts
+++ b/packages/core/src/id.ts
@@ -1,8 +1,8 @@
 /**
- * Branded ids.
+ * Branded types for names and ids.
  *
- * Every name that crosses a boundary is parsed once by its schema and keeps its brand from there on, so that a
- * team name can't be passed where an adapter name is meant.
+ * A name from outside is parsed once by its schema. From then on its type carries a brand, so that a team's name can't be
+ * passed where an adapter's name is expected.
  */
 import { randomBytes } from 'node:crypto'
 import * as z from 'zod'
@@ -30,39 +30,39 @@
 export const FailureDomain = name.brand<'FailureDomain'>()
 export type FailureDomain = z.infer<typeof FailureDomain>
 
-/** A process's name, which it keeps over restarts. */
+/** The name of a process, which stays the same across restarts. */
 export const ProcessId = name.brand<'ProcessId'>()
 export type ProcessId = z.infer<typeof ProcessId>
 
-/** One run of one process: a restart is another incarnation. */
+/** Identifies one run of a process; each restart makes a new one. */
 export const Incarnation = z.string().regex(/^[A-Za-z0-9_-]{16}$/).brand<'Incarnation'>()
 export type Incarnation = z.infer<typeof Incarnation>
 
-/** What a caller names one request by, over all tries of it; unique within its team. */
+/** The caller's idempotency key: the same for all attempts of one request, and unique within the team. */
 export const RequestKey = z.string().regex(/^[\x21-\x7e]{1,200}$/, 'expected 1 to 200 visible ASCII characters').brand<'RequestKey'>()
 export type RequestKey = z.infer<typeof RequestKey>
 
-/** One try of a request, in logs and answers. */
+/** Identifies one attempt of a request in logs and responses. */
 export const RequestId = z.string().min(1).max(64).brand<'RequestId'>()
 export type RequestId = z.infer<typeof RequestId>
 
-/** What makes two tries the same request: 96 bits of a hash of who asks for what. It gives back neither. */
+/** Equal for attempts of the same request: 96 bits of a hash over caller and request. Neither can be recovered from it. */
 export const RequestFingerprint = z.string().regex(/^[A-Za-z0-9_-]{16}$/).brand<'RequestFingerprint'>()
 export type RequestFingerprint = z.infer<typeof RequestFingerprint>
 
-/** Counts accepted configurations, from 1; 0 is "none seen yet". */
+/** Number of the accepted configuration, counted from 1; 0 if none has been received yet. */
 export const Revision = z.number().int().nonnegative().brand<'Revision'>()
 export type Revision = z.infer<typeof Revision>
 
 export const noRevision = Revision.parse(0)
 
 /** `host:port` of a process's TCP listener. */
-export const Address = z.string().regex(/^[0-9a-f.:[\]]+:\d{1,5}$/i, 'expected an IP number and a port').brand<'Address'>()
+export const Address = z.string().regex(/^[0-9a-f.:[\]]+:\d{1,5}$/i, 'expected an IP address and a port').brand<'Address'>()
 export type Address = z.infer<typeof Address>
 
 const tokenBytes = 12
 
-/** 96 random bits, as 16 characters that fit into headers and object names. */
+/** 96 random bits as 16 characters that are valid in headers and object names. */
 export const randomToken = (): string => randomBytes(tokenBytes).toString('base64url')
 
 export const newIncarnation = (): Incarnation => Incarnation.parse(randomToken())
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** What every package shares: ids, findings, failures, work, the configuration and the log. */
+/** Types and utilities shared by all packages: ids, findings, failures, requests, the configuration and logging. */
 export * from './id.js'
 export * from './address.js'
 export * from './finding.js'
--- a/packages/core/src/line-sink.ts
+++ b/packages/core/src/line-sink.ts
@@ -1,24 +1,25 @@
 /**
- * Where log lines go: a bounded queue before a file descriptor, so that a reader who is slow never blocks a request.
+ * Buffered output of log lines to a file descriptor, with a bounded buffer, so that a slow reader of the log never blocks
+ * a request.
  *
- * Lines are written together, a few times a second. What the queue has no room for is dropped and counted, and the
- * count is written as a line of its own once there is room again.
+ * Lines are written in batches, up to ten times a second. Lines that don't fit into the buffer are dropped and counted,
+ * and the count is logged with the next batch.
  */
 import { write } from 'node:fs'
 import { pause } from './abort.js'
 
 export interface LineSink {
-  /** One line, without its end. */
+  /** Writes one line, given without its line break. */
   write: (line: string) => void
 }
 
-/** Some seconds of a busy process's lines. */
-const queueBytes = 512 * 1024
-/** At a process's end, what is queued gets this long; a reader that is gone must not keep the process. */
-const endMs = 150
-const endStepMs = 10
-/** Long enough to gather many lines into one call, short enough to read along. */
-const flushMs = 100
+/** Holds the lines of a busy process for a few seconds. */
+const maxBufferedBytes = 512 * 1024
+/** How long a stopping process waits for its buffered lines to be written. A reader that has gone must not keep it from stopping. */
+const drainTimeoutMs = 150
+const drainPollMs = 10
+/** Long enough to batch many lines into one write, short enough to follow the log live. */
+const flushIntervalMs = 100
 
 export class BoundedLines implements LineSink {
   #lines: string[] = []
@@ -27,7 +28,7 @@
   #writing = false
   #timer: NodeJS.Timeout | undefined
 
-  constructor (private readonly descriptor: number, private readonly limit = queueBytes) {}
+  constructor (private readonly descriptor: number, private readonly limit = maxBufferedBytes) {}
 
   write (line: string): void {
     if (this.#bytes + line.length > this.limit) {
@@ -36,10 +37,10 @@
     }
     this.#lines.push(line)
     this.#bytes += line.length + 1
-    this.#timer ??= setTimeout(() => this.flush(), flushMs)
+    this.#timer ??= setTimeout(() => this.flush(), flushIntervalMs)
   }
 
-  /** Hands over what is queued; one write at a time. */
+  /** Writes the buffered lines, unless a write is in progress. */
   flush (): void {
     this.#timer = undefined
     if (this.#writing || this.#lines.length === 0) return
@@ -53,23 +54,23 @@
     this.#write(text, 0)
   }
 
-  /** Writes what is queued before the process ends, as far as its reader takes it in time. */
+  /** Writes the buffered lines before the process stops, as far as the reader takes them within the time-out. */
   async end (): Promise<void> {
     this.flush()
-    for (let waited = 0; waited < endMs && (this.#writing || this.#lines.length > 0); waited += endStepMs) await pause(endStepMs)
+    for (let waitedMs = 0; waitedMs < drainTimeoutMs && (this.#writing || this.#lines.length > 0); waitedMs += drainPollMs) await pause(drainPollMs)
   }
 
-  #write (text: Buffer, from: number): void {
-    write(this.descriptor, text, from, text.length - from, null, (error, written) => {
+  #write (text: Buffer, offset: number): void {
+    write(this.descriptor, text, offset, text.length - offset, null, (error, written) => {
       if (error?.code === 'EAGAIN') {
-        setTimeout(() => this.#write(text, from), flushMs)
+        setTimeout(() => this.#write(text, offset), flushIntervalMs)
         return
       }
-      if (error === null && from + written < text.length) return this.#write(text, from + written)
-      // A descriptor that is closed can't be told anything; the lines are lost with it.
+      if (error === null && offset + written < text.length) return this.#write(text, offset + written)
+      // Everything has been written, or the descriptor failed, as when it is closed; these lines are then lost.
       this.#writing = false
       this.#bytes = this.#lines.reduce((sum, line) => sum + line.length + 1, 0)
-      if (this.#lines.length > 0) this.#timer ??= setTimeout(() => this.flush(), flushMs)
+      if (this.#lines.length > 0) this.#timer ??= setTimeout(() => this.flush(), flushIntervalMs)
     })
   }
 }
--- a/packages/core/src/log.ts
+++ b/packages/core/src/log.ts
@@ -1,5 +1,5 @@
 /**
- * Logs: one JSON object a line, through `loglevel`, so the level can change at run time.
+ * Logging as one JSON object per line, through `loglevel`, so that the level can be changed at run time.
  */
 import loglevel from 'loglevel'
 import type { LineSink } from './line-sink.js'
@@ -9,12 +9,13 @@
 
 const standardError: LineSink = { write: line => { process.stderr.write(`${line}\n`) } }
 
-const hidden = new Set(['authorization', 'token', 'secret', 'body'])
+/** Names of fields that are never logged, since they may hold secrets or callers' data. */
+const redactedFields = new Set(['authorization', 'token', 'secret', 'body'])
 
-/** Most lines hide nothing, and are passed on without a copy. */
-const shown = (fields: LogFields): LogFields => {
+/** Removes the redacted fields. Most lines have none and are returned without a copy. */
+const redact = (fields: LogFields): LogFields => {
   for (const key in fields) {
-    if (hidden.has(key.toLowerCase())) return Object.fromEntries(Object.entries(fields).filter(([each]) => !hidden.has(each.toLowerCase())))
+    if (redactedFields.has(key.toLowerCase())) return Object.fromEntries(Object.entries(fields).filter(([each]) => !redactedFields.has(each.toLowerCase())))
   }
   return fields
 }
@@ -31,7 +32,7 @@
     this.#logger.setLevel(level, false)
   }
 
-  /** The same log with more fields on each line. */
+  /** A logger that adds these fields to each line. */
   with (fields: LogFields): Log {
     return new Log(this.name, { ...this.fixed, ...fields }, this.level, this.sink)
   }
@@ -46,19 +47,19 @@
   }
 
   debug (event: string, fields: LogFields = {}): void {
-    this.#logger.debug(event, shown({ ...this.fixed, ...fields }))
+    this.#logger.debug(event, redact({ ...this.fixed, ...fields }))
   }
 
   info (event: string, fields: LogFields = {}): void {
-    this.#logger.info(event, shown({ ...this.fixed, ...fields }))
+    this.#logger.info(event, redact({ ...this.fixed, ...fields }))
   }
 
   warn (event: string, fields: LogFields = {}): void {
-    this.#logger.warn(event, shown({ ...this.fixed, ...fields }))
+    this.#logger.warn(event, redact({ ...this.fixed, ...fields }))
   }
 
   error (event: string, fields: LogFields = {}): void {
-    this.#logger.error(event, shown({ ...this.fixed, ...fields }))
+    this.#logger.error(event, redact({ ...this.fixed, ...fields }))
   }
 }
 
--- a/packages/core/src/work.ts
+++ b/packages/core/src/work.ts
@@ -1,11 +1,11 @@
 /**
- * Work: one try of a request, as the entry hands it to a side process, and the answer's parts.
+ * One attempt of a request, as an entry sends it to a side process, and the parts of its response.
  */
 import * as z from 'zod'
 import { AdapterName, AdapterVersion, Address, Incarnation, ModelName, ProcessId, RequestId, RequestKey, Revision, ServiceName, TeamName } from './id.js'
 import type { Failure } from './failure.js'
 
-/** What a side process serves. */
+/** What a side process serves: a base model or a service. */
 export const Serving = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('model'), model: ModelName }),
   z.object({ kind: z.literal('service'), service: ServiceName })
@@ -15,7 +15,7 @@
 export const servingName = (serving: Serving): string =>
   serving.kind === 'model' ? `model/${serving.model}` : `service/${serving.service}`
 
-/** What a request runs on; the version is exact, aliases are resolved before. */
+/** What a request is run on: an adapter, whose alias has been resolved to an exact version, or a service. */
 export const Target = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('adapter'), team: TeamName, adapter: AdapterName, version: AdapterVersion, model: ModelName, source: z.string() }),
   z.object({ kind: z.literal('service'), service: ServiceName })
@@ -23,7 +23,7 @@
 export type Target = z.infer<typeof Target>
 export type AdapterTarget = Extract<Target, { kind: 'adapter' }>
 
-/** `team/adapter@version`, the name of an exact adapter version everywhere. */
+/** `team/adapter@version`, which identifies an exact version of an adapter. */
 export const adapterLabel = (target: AdapterTarget): string => `${target.team}/${target.adapter}@${target.version}`
 
 export const targetLabel = (target: Target): string =>
@@ -32,7 +32,7 @@
 export const servingOf = (target: Target): Serving =>
   target.kind === 'adapter' ? { kind: 'model', model: target.model } : { kind: 'service', service: target.service }
 
-/** Classes in the order in which they are served. */
+/** Priority classes, the most urgent first. */
 export const workClasses = ['desk', 'caller', 'batch'] as const
 export const WorkClass = z.enum(workClasses)
 export type WorkClass = z.infer<typeof WorkClass>
@@ -40,10 +40,10 @@
 export const Headers = z.record(z.string(), z.string())
 export type Headers = z.infer<typeof Headers>
 
-/** Bytes of any backing, as they come off a socket. */
+/** Bytes as received from a socket; accepts `Buffer` and any other `Uint8Array`. */
 export const Bytes = z.custom<Uint8Array>(value => value instanceof Uint8Array, 'expected bytes')
 
-/** An HTTP request without its connection. */
+/** An HTTP request, detached from its connection. */
 export const Call = z.object({
   method: z.string().max(20),
   path: z.string().max(4000),
@@ -53,9 +53,9 @@
 export type Call = z.infer<typeof Call>
 
 /**
- * Which one incarnation may run a key. `epoch` is that incarnation's count of its key windows: it remembers the
- * keys of the current and the last epoch and refuses older ones, so its memory is bounded without clocks being
- * compared. `nonce` tells one's own write of the binding from another's.
+ * The only incarnation that may run the request with a given key. `epoch` counts the key windows of that incarnation: it
+ * remembers the keys of the current and the previous epoch and refuses older ones, which bounds its memory without
+ * comparing clocks. `nonce` distinguishes a process's own write of the binding from another's.
  */
 export const Binding = z.object({
   process: ProcessId,
@@ -70,31 +70,31 @@
   id: RequestId,
   team: TeamName,
   class: WorkClass,
-  /** How long the caller still waits, in milliseconds; a duration, so clocks needn't agree. */
+  /** How long the caller still waits, in milliseconds; a duration, so that clocks need not be synchronized. */
   patienceMs: z.number().nonnegative(),
-  /** The configuration that the target was resolved at. */
+  /** The revision of the configuration against which the target was resolved. */
   revision: Revision,
   target: Target,
   call: Call,
-  /** Present exactly on requests that may not be repeated. */
+  /** Present on non-idempotent requests only. */
   once: z.object({ key: RequestKey, binding: Binding }).optional()
 })
 export type Work = z.infer<typeof Work>
 
-/** The start of an answer; the body follows in chunks. */
+/** Status and headers of a response; the body follows in chunks. */
 export interface AnswerHead {
   status: number
   headers: Headers
 }
 
-/** A body whose reader sets the pace; it throws `AnswerFailure` when it can't be brought to its end. */
+/** A response body with backpressure. Iterating it throws a `ResponseError` if the body can't be completed. */
 export type AnswerBody = AsyncIterable<Uint8Array>
 
 export interface Answer extends AnswerHead {
   body: AnswerBody
 }
 
-/** Ends a body that can't be brought whole. */
+/** Thrown by a response body that can't be completed. */
 export class AnswerFailure extends Error {
   constructor (readonly failure: Failure) {
     super(failure.code)
--- a/packages/core/test/configuration.test.ts
+++ b/packages/core/test/configuration.test.ts
@@ -6,11 +6,11 @@
 
 describe('configuration', () => {
   describe('check', () => {
-    it('takes a whole document', () => {
+    it('accepts a valid document', () => {
       expect(check(document).isOk()).to.equal(true)
     })
 
-    it('reports every fault with its path', () => {
+    it('reports all errors with their paths', () => {
       const findings = check({
         ...document,
         services: [{ name: 'ledger', teams: ['nobody'] }],
@@ -25,22 +25,22 @@
       ])
     })
 
-    it('names unknown fields', () => {
+    it('reports unknown fields by name', () => {
       const findings = check({ ...document, teamz: [] })._unsafeUnwrapErr()
       expect(findings[0]?.message).to.contain('teamz')
     })
   })
 
   describe('versionOf', () => {
-    const [checked] = check(document)._unsafeUnwrap().adapters
-    if (checked === undefined) throw new Error('the document has an adapter')
+    const [parsedAdapter] = check(document)._unsafeUnwrap().adapters
+    if (parsedAdapter === undefined) throw new Error('expected the document to have an adapter')
 
     it('resolves a version, an alias and the default', () => {
-      expect([versionOf(checked, 'v1'), versionOf(checked, 'live'), versionOf(checked, undefined)]).to.deep.equal(['v1', 'v2', 'v2'])
+      expect([versionOf(parsedAdapter, 'v1'), versionOf(parsedAdapter, 'live'), versionOf(parsedAdapter, undefined)]).to.deep.equal(['v1', 'v2', 'v2'])
     })
 
-    it('knows nothing that is not declared, also not a property of every object', () => {
-      expect([versionOf(checked, 'v9'), versionOf(checked, 'constructor')]).to.deep.equal([undefined, undefined])
+    it('resolves no undeclared version, nor a property inherited from Object.prototype', () => {
+      expect([versionOf(parsedAdapter, 'v9'), versionOf(parsedAdapter, 'constructor')]).to.deep.equal([undefined, undefined])
     })
   })
 })
--- a/packages/wire/src/channel.ts
+++ b/packages/wire/src/channel.ts
@@ -1,8 +1,9 @@
 /**
- * A channel: one connection between two processes of the system, read by one task.
+ * A channel: one framed connection between two processes of the system, whose frames are read by a single task.
  *
- * It says hello first, sends heartbeats while nothing else is sent, and ends itself when the other end stays
- * silent. A channel never comes back; whoever needs the peer again opens another.
+ * Each end sends a hello first, and heartbeats while it sends nothing else. A channel closes itself if nothing arrives from
+ * the peer within the time-out, since a connection to a host that has vanished reports no error by itself. A closed channel is
+ * not reopened; whoever needs the peer again opens a new one.
  */
 import type { Duplex } from 'node:stream'
 import { pause } from '@finchpitch/core'
@@ -10,7 +11,7 @@
 import { protocolVersion, type Frame, type FrameOf, type Hello } from './frame.js'
 
 export const heartbeatMs = 2000
-/** Three heartbeats may be lost before the peer counts as gone. */
+/** Tolerates three lost heartbeats before the peer is considered dead. */
 export const silenceMs = 7000
 
 export type ChannelEnd =
@@ -21,13 +22,13 @@
   | { reason: 'fault', fault: FrameFault }
   | { reason: 'protocol', detail: string }
 
-/** How often a channel shows that it lives, and how long it waits for the peer to. */
+/** Heartbeat interval and time-out of a channel. */
 export interface ChannelPace {
-  /** Milliseconds of rest after which a heartbeat is sent; `heartbeatMs` by default. */
+  /** Milliseconds without a sent frame after which a heartbeat is sent; `defaultHeartbeatMs` if absent. */
   heartbeatMs?: number
-  /** Heartbeats are sent beside other frames too, since they tell something of their own. */
+  /** Sends a heartbeat in each interval, even if other frames were sent, because its fields carry state of their own. */
   steady?: boolean
-  /** Milliseconds of silence after which the peer counts as gone; `silenceMs` by default. */
+  /** Milliseconds without a received frame after which the peer is considered dead; `defaultSilenceTimeoutMs` if absent. */
   silenceMs?: number
 }
 
@@ -36,59 +37,59 @@
   heartbeat: () => FrameOf<'heartbeat'>
 }
 
-/** All channels of a process beat at the same moments, so that it wakes once for them. */
-const untilTick = (beat: number): number => beat - performance.now() % beat
+/** Aligns the heartbeats of all channels of a process, so that it wakes up once for all of them. */
+const delayToNextTick = (intervalMs: number): number => intervalMs - performance.now() % intervalMs
 
 export class Channel {
-  readonly #reader = new FrameReader()
+  readonly #decoder = new FrameReader()
   readonly #ended: Promise<ChannelEnd>
-  readonly #greeted: Promise<boolean>
-  #greetDone!: (greeted: boolean) => void
-  #finish!: (end: ChannelEnd) => void
+  readonly #helloReceived: Promise<boolean>
+  #resolveHello!: (received: boolean) => void
+  #resolveEnded!: (end: ChannelEnd) => void
   #pace: ChannelPace
-  /** Cuts a rest between heartbeats short. */
-  #rest = new AbortController()
+  /** Aborts the pause before the next heartbeat. */
+  #wake = new AbortController()
   #lastSent = 0
-  #lastHeard = performance.now()
+  #lastReceived = performance.now()
   #peer: Hello | undefined
   #end: ChannelEnd | undefined
 
   constructor (private readonly stream: Duplex, private readonly options: ChannelOptions) {
     this.#pace = options
-    this.#ended = new Promise(resolve => { this.#finish = resolve })
-    this.#greeted = new Promise(resolve => { this.#greetDone = resolve })
+    this.#ended = new Promise(resolve => { this.#resolveEnded = resolve })
+    this.#helloReceived = new Promise(resolve => { this.#resolveHello = resolve })
     stream.on('error', error => this.close({ reason: 'broken', detail: error.message }))
     stream.on('close', () => this.close({ reason: 'closed' }))
     this.send(options.hello())
-    void this.#beat()
+    void this.#runHeartbeats()
   }
 
-  /** What the peer said of itself; set before the first frame is given out. */
+  /** The peer's hello; available once `frames` has yielded a frame. */
   get peer (): Hello {
-    if (this.#peer === undefined) throw new Error('a channel\'s peer is known from its first frame on')
+    if (this.#peer === undefined) throw new Error('the peer has not sent its hello yet')
     return this.#peer
   }
 
-  /** Resolves true once the peer has said hello, false if the channel ends before. Needs `frames` to be read. */
+  /** Resolves to true once the peer's hello has arrived, or to false if the channel closes before. Requires that `frames` is being read. */
   get greeted (): Promise<boolean> {
-    return this.#greeted
+    return this.#helloReceived
   }
 
   get open (): boolean {
     return this.#end === undefined
   }
 
-  /** Resolves with the reason once the channel has ended. */
+  /** Resolves to the reason once the channel has closed. */
   get ended (): Promise<ChannelEnd> {
     return this.#ended
   }
 
-  /** Sends one frame; false when the channel has ended and nothing was sent. */
+  /** Sends one frame. Returns false, and sends nothing, if the channel is closed. */
   send (frame: Frame): boolean {
     return this.sendEncoded([encode(frame)])
   }
 
-  /** Sends frames that were encoded before, for several peers, in one write; false when the channel has ended. */
+  /** Sends encoded frames in one write; a frame for several peers need only be encoded once. Returns false if the channel is closed. */
   sendEncoded (frames: readonly Buffer[]): boolean {
     if (!this.open) return false
     this.#lastSent = performance.now()
@@ -98,7 +99,7 @@
     return true
   }
 
-  /** Resolves once all that was sent has left this process, or the channel has ended. */
+  /** Resolves once everything sent has been passed to the operating system, or the channel has closed. */
   async flushed (): Promise<void> {
     if (!this.open || this.stream.writableLength === 0) return
     await Promise.race([new Promise<void>(resolve => this.stream.write('', () => resolve())), this.#ended])
@@ -107,22 +108,22 @@
   close (end: ChannelEnd = { reason: 'closed' }): void {
     if (!this.open) return
     this.#end = end
-    this.#rest.abort()
+    this.#wake.abort()
     this.stream.destroy()
-    this.#greetDone(false)
-    this.#finish(end)
+    this.#resolveHello(false)
+    this.#resolveEnded(end)
   }
 
-  /** The peer's frames after its hello, until the channel ends. */
+  /** Yields the peer's frames after its hello, until the channel closes. */
   async * frames (): AsyncGenerator<Exclude<Frame, Hello>> {
     try {
-      for await (const piece of this.stream) {
-        this.#lastHeard = performance.now()
-        const frames = this.#reader.read(piece as Uint8Array)
+      for await (const bytes of this.stream) {
+        this.#lastReceived = performance.now()
+        const frames = this.#decoder.read(bytes as Uint8Array)
         if (frames.isErr()) return this.close({ reason: 'fault', fault: frames.error })
         for (const frame of frames.value) {
           if (frame.type === 'hello') {
-            if (!this.#greet(frame)) return
+            if (!this.#acceptHello(frame)) return
           } else if (this.#peer === undefined) {
             return this.close({ reason: 'protocol', detail: `expected hello, got ${frame.type}` })
           } else {
@@ -131,46 +132,46 @@
           if (!this.open) return
         }
       }
-      this.close(this.#reader.held > 0 ? { reason: 'cut', heldBytes: this.#reader.held } : { reason: 'closed' })
+      this.close(this.#decoder.held > 0 ? { reason: 'cut', heldBytes: this.#decoder.held } : { reason: 'closed' })
     } catch (error) {
       this.close({ reason: 'broken', detail: (error as Error).message })
     }
   }
 
-  #greet (hello: Hello): boolean {
+  #acceptHello (hello: Hello): boolean {
     if (hello.protocol === protocolVersion && this.#peer === undefined) {
       this.#peer = hello
-      this.#greetDone(true)
+      this.#resolveHello(true)
       return true
     }
     const detail = this.#peer === undefined
-      ? `peer speaks version ${hello.protocol}, this process ${protocolVersion}`
-      : 'a second hello'
+      ? `the peer uses protocol version ${hello.protocol}, this process version ${protocolVersion}`
+      : 'the peer sent a second hello'
     this.close({ reason: 'protocol', detail })
     return false
   }
 
-  /** Sends a heartbeat at once, for what it tells. */
+  /** Sends a heartbeat immediately, for the state that it carries. */
   beat (): void {
     this.send(this.options.heartbeat())
   }
 
-  /** Both ends change it alike, once they know what the channel is for. Silence counts from here. */
+  /** Changes interval and time-out, and restarts the time-out. Both ends do so alike once they know what the channel is used for. */
   setPace (pace: ChannelPace): void {
     if (!this.open) return
     this.#pace = pace
-    this.#lastHeard = performance.now()
-    this.#rest.abort()
-    this.#rest = new AbortController()
+    this.#lastReceived = performance.now()
+    this.#wake.abort()
+    this.#wake = new AbortController()
   }
 
-  async #beat (): Promise<void> {
+  async #runHeartbeats (): Promise<void> {
     while (this.open) {
-      const { heartbeatMs: beat = heartbeatMs, silenceMs: silence = silenceMs, steady } = this.#pace
-      await pause(untilTick(beat), this.#rest.signal)
+      const { heartbeatMs: intervalMs = heartbeatMs, silenceMs: timeoutMs = silenceMs, steady: always } = this.#pace
+      await pause(delayToNextTick(intervalMs), this.#wake.signal)
       const now = performance.now()
-      if (now - this.#lastHeard > silence) this.close({ reason: 'silent' })
-      if (steady === true || now - this.#lastSent >= beat) this.beat()
+      if (now - this.#lastReceived > timeoutMs) this.close({ reason: 'silent' })
+      if (always === true || now - this.#lastSent >= intervalMs) this.beat()
     }
   }
 }
--- a/packages/wire/src/frame.ts
+++ b/packages/wire/src/frame.ts
@@ -1,36 +1,36 @@
 /**
- * Frames: what the system's own processes say to each other.
+ * The messages between the system's own processes.
  *
- * On the wire a frame is a big-endian length of four bytes and that many bytes of CBOR. The schema below is the
- * one definition; a frame that doesn't fit it ends the connection it came on and nothing else.
+ * On the wire, a frame is a big-endian length of four bytes followed by that many bytes of CBOR. The schema below defines all
+ * frames. A frame that does not match it closes the connection on which it arrived, and has no other effect.
  */
 import { Address, Bytes, Failure, Headers, Incarnation, ProcessId, RequestFingerprint, Revision, FailureDomain, Serving, Work } from '@finchpitch/core'
 import * as z from 'zod'
 
-/** Raised when two versions can't talk to each other; the first frame carries it. */
+/** Incremented with each incompatible change of the protocol. The hello carries it, so that incompatible processes disconnect. */
 export const protocolVersion = 5
 
 const ExchangeId = z.number().int().nonnegative()
 
-/** How a side process stands; learned from its replies, aged by the reader. */
+/** Load of a side process, as reported in its heartbeats and at the end of each response. */
 export const Load = z.object({
   waiting: z.number().int().nonnegative(),
   running: z.number().int().nonnegative(),
   capacity: z.number().int().positive(),
-  /** The sender's current key window. */
+  /** The current key window of the sender (see `Binding`). */
   epoch: z.number().int().nonnegative(),
   leaving: z.boolean()
 })
 export type Load = z.infer<typeof Load>
 
 /**
- * How a process sees the store: it watches it, it tries to and is not answered, or it leaves that to others. One that
- * reads sends what it learns at once.
+ * A process's access to the store: it watches the store, it tries to but gets no answer, or it leaves watching to other
+ * processes. One that watches the store forwards what it reads without delay.
  */
 export const StoreSight = z.enum(['reading', 'blind', 'resting'])
 export type StoreSight = z.infer<typeof StoreSight>
 
-/** Up to which revision of the store a process lacks nothing, for each kind of fact. */
+/** For each kind of fact, the store revision up to which a process has everything. */
 export const Complete = z.object({ table: z.number().nonnegative(), server: z.number().nonnegative(), version: z.number().nonnegative() })
 export type Complete = z.infer<typeof Complete>
 
@@ -48,120 +48,121 @@
 })
 export type Hello = z.infer<typeof Hello>
 
-/** Something that the platform's store says, with the revision at which it last changed; `null` once it is gone. */
+/** A record of the platform's store with the revision at which it last changed. Its value is `null` if the record was removed. */
 export const FactFrame = z.object({
   type: z.literal('fact'),
   kind: z.enum(['table', 'server', 'version']),
   key: z.string().max(500),
-  /** A removal counts as half a revision after the last change. */
+  /** A removal has the revision of the last change plus one half. */
   revision: z.number().nonnegative(),
-  /** Of a removal: the store's revision when it was seen. */
+  /** For a removal: the store's revision at which it was observed. */
   seenAt: z.number().nonnegative().optional(),
-  /** Of a removal: it is known to be none of those that an outage makes, which come back. */
+  /** For a removal: it is certainly not one caused by an outage, after which the server is registered again. */
   final: z.boolean().optional(),
   value: z.unknown()
 })
 export type FactFrame = z.infer<typeof FactFrame>
 
-/** Characters of the longest adapter key that a frame carries. */
+/** Maximum length of an adapter key, in characters. */
 export const longestAdapterKey = 500
 const AdapterKey = z.string().max(longestAdapterKey)
 const Count = z.number().int().nonnegative()
 
-/** Characters of the longest host that a frame carries; an IP number has 45 at most. */
+/** Maximum length of a host; an IP address has at most 45 characters. */
 export const longestHost = 64
-/** Characters of the longest reason for declining. */
+/** Maximum length of the reason in a `declined` frame. */
 export const longestReason = 100
-/** Characters of the longest name of a team. */
+/** Maximum length of a team's name. */
 export const longestTeam = 200
-/** Characters of what names one life of a server. */
+/** Maximum length of the id of a server incarnation. */
 export const longestLife = 200
-/** Ends of servers, and runs that came to their end, that one frame tells of. */
+/** Maximum number of crashes in one frame; also that of completed runs and of probes. */
 export const mostCrashes = 500
-/** Adapters of which one frame tells the uses. */
+/** Maximum number of adapters in one `uses` frame. */
 export const mostUses = 5000
 
-/** The machine that an engine and its side process share, by its IP number. */
+/** The IP address of the machine on which an engine and its side process run. */
 const Host = z.string().max(longestHost)
 
 /**
- * What an engine holds and how full it is, told by its side process or by one that passes its news on. A field that is
- * absent has not changed since the last frame of this engine; after `whole` there was none.
+ * State of an engine, sent by its side process or by another one that relays its updates. Updates are deltas: an absent
+ * field has not changed since the previous frame for this engine. With `whole`, there is no previous frame.
  */
 export const HoldingFrame = z.object({
   type: z.literal('holding'),
   host: Host,
-  /** `came` lists all that is held, and what was told of this engine before is void. */
+  /** The frame is a full snapshot: `came` lists everything that is loaded, and earlier state of this engine is discarded. */
   whole: z.boolean().optional(),
-  /** The engine answers its side process. */
+  /** Whether the engine answers its side process. */
   reachable: z.boolean().optional(),
-  /** The engine's id; `null` where it is no longer known. */
+  /** The engine's id; `null` if it is no longer known. */
   server: z.string().nullable().optional(),
-  /** Unix ms of the engine's start; `null` where it is not known. */
+  /** Start time of the engine in Unix ms; `null` if unknown. */
   bornAt: z.number().nullable().optional(),
-  /** The engine says itself that it leaves. */
+  /** Whether the engine reports that it is draining. */
   leaving: z.boolean().optional(),
-  /** Adapter or model keys that came or changed since the last frame, each with the version held. */
+  /** Keys of adapters and models that were loaded or changed version since the previous frame, with their versions. */
   came: z.record(AdapterKey, z.number()).optional(),
-  /** Keys held at the last frame and no longer. */
+  /** Keys that have been unloaded since the previous frame. */
   went: z.array(AdapterKey).optional(),
-  /** All keys on their way in. */
+  /** All keys that are being loaded. */
   coming: z.array(AdapterKey).optional(),
-  /** The one that passes these news on has lost the engine's side process; until then, they are what it last said. */
+  /** Whether the relaying process has lost its connection to the engine's side process, so that this is the last known state. */
   lost: z.boolean().optional(),
-  /** Adapters that the engine has let go of and has at hand, with their versions; to a new peer only. */
+  /** Adapters that were unloaded but are still cached in the engine's memory, with their versions. Sent only to a new peer. */
   warm: z.array(z.tuple([AdapterKey, z.number()])).max(1000).optional(),
   waiting: Count.optional(),
   running: Count.optional(),
-  /** Prompt tokens that requests of all entries have there and that are not read yet, as far as those have told. */
+  /** Prompt tokens of all entries' requests that the engine has not processed yet, as far as the entries have reported them. */
   unread: Count.optional(),
-  /** Entries of the engine's failure domain that its side process hears. */
+  /** Entries of the engine's own failure domain that are connected to its side process. */
   entries: Count.optional(),
-  /** Entries of other domains that it tells its news to directly, as they have no side process near. */
+  /** Entries of other failure domains that subscribe directly, because their own domain has no side process. */
   strangers: Count.optional(),
-  /** The fence that its orders carry, so that its next incarnation never uses a lower one. */
+  /** The fencing token of the side process's orders. Peers remember it, so that its next incarnation never uses a lower one. */
   fence: Count.optional()
 })
 export type HoldingFrame = z.infer<typeof HoldingFrame>
 
-/** Tokens of a team's quota: its name, how many, and how many ms before the frame was made the oldest was earned. */
+/** Quota tokens of a team: the team, the number of tokens, and the age of the oldest in ms when the frame was created. */
 export const TokenAge = z.tuple([z.string().max(longestTeam), z.number().nonnegative(), z.number().nonnegative()])
 export type TokenAge = z.infer<typeof TokenAge>
 
-/** Characters of what names one life of a server and the limit that it names. */
+/** Maximum length of the id of a server incarnation together with the limit that it states. */
 export const longestServerLimit = longestLife + 30
 const ServerLimit = z.string().max(longestServerLimit)
 
-/** Requests that a server's limit allows: the limit, how many, and how many ms before the frame was made the oldest was earned. */
+/** Requests allowed by a limit that a server states: the limit, the number of requests, and the age of the oldest allowance in ms when the frame was created. */
 export const RequestAge = z.tuple([ServerLimit, z.number().nonnegative(), z.number().nonnegative()])
 export type RequestAge = z.infer<typeof RequestAge>
 
-/** Whole requests that an entry lacks at a server's limit: the limit, how many, and how many ms they last. */
+/** Requests that an entry lacks under a server's limit: the limit, the number of requests, and the lifetime of an allowance in ms. */
 export const RequestWant = z.tuple([ServerLimit, Count, z.number().nonnegative()])
 export type RequestWant = z.infer<typeof RequestWant>
 
-/** Limits of which one frame tells. */
+/** Maximum number of server limits in one frame. */
 export const mostLimits = 500
 
 /**
- * What a server said of how many requests a second it takes: its life, the figure (`null` where it named none), and how many ms
- * before the frame was made the request was sent and its answer came.
+ * The request rate that a server stated in a response: the server's incarnation, the requests per second (`null` if it stated
+ * none), and the ages in ms of the request and of the response when the frame was created.
  */
 export const LimitAge = z.tuple([z.string().max(longestLife), z.number().nonnegative().nullable(), z.number().nonnegative(), z.number().nonnegative()])
 export type LimitAge = z.infer<typeof LimitAge>
 
-/** A server that ended under a request: the request's fingerprint, the server's life, and how many ms before the frame was made the request was sent and the server had ended. */
+/** A server crash during a request: the request's fingerprint, the server's incarnation, and the ages in ms of the request and of the crash when the frame was created. */
 export const CrashAge = z.tuple([RequestFingerprint, z.string().max(longestLife), z.number().nonnegative(), z.number().nonnegative()])
 export type CrashAge = z.infer<typeof CrashAge>
 
-/** A run of a request that came to its end, and how many ms before the frame was made. */
+/** A run of a request that completed without a crash: the request's fingerprint, and the age of the completion in ms when the frame was created. */
 export const SoundAge = z.tuple([RequestFingerprint, z.number().nonnegative()])
 export type SoundAge = z.infer<typeof SoundAge>
 
+/** Tells an entry whether it is one of those that watch the store for its failure domain. */
 export const Appointment = z.object({
   type: z.literal('appoint'),
   watch: z.boolean(),
-  /** No entry that the sender hears is answered by the store. */
+  /** Whether the store answers none of the entries that are connected to the sender. */
   outage: z.boolean()
 })
 export type Appointment = z.infer<typeof Appointment>
@@ -170,25 +171,25 @@
   Hello,
   FactFrame,
   HoldingFrame,
-  /** Asks a side process to bring an adapter in, `waiting` requests being held for it. */
+  /** Asks a side process to load an adapter, for which `waiting` requests are queued. */
   z.object({ type: z.literal('want'), key: AdapterKey, version: z.number().optional(), waiting: Count, priority: Count }),
-  /** Asks for the news of the engines at these hosts and of no others. `relay`: the sender passes them on. */
+  /** Subscribes to the updates of the engines on these hosts, and of no others. `relay`: the sender relays them to entries. */
   z.object({ type: z.literal('follow'), hosts: z.array(Host).max(5000), relay: z.boolean() }),
-  /** Asks for all that the sender lacks of the store's facts, at once and from now on (`true`), or only what it still lacks after a while. */
+  /** Asks for the facts that the sender lacks: each immediately from now on (`true`), or only those that it still lacks after a delay. */
   z.object({ type: z.literal('depend'), on: z.boolean() }),
-  /** To one that depends on the sender: with what was sent before, it lacks nothing up to here. */
+  /** Sent to a peer that depends on the sender: with the facts sent before, it has everything up to these revisions. */
   z.object({ type: z.literal('caught_up'), complete: Complete }),
-  /** Asks how fresh the receiver's routing table is. `stamp`: the sender's steady clock in ms; `revision`: of the table that it has. */
+  /** Asks for a freshness proof of the routing table. `stamp`: the sender's boot-time clock in ms; `revision`: that of the sender's table. */
   z.object({ type: z.literal('ask_fresh'), stamp: z.number(), revision: z.number().nonnegative() }),
   /**
-   * The answer. The table with `revision` was the newest `ageMs` before the stamp came, or later where that is 0; absent
-   * where nothing proves it.
+   * The answer to `ask_fresh`. The table with `revision` was the newest `ageMs` before the request arrived, or later if `ageMs`
+   * is 0. `ageMs` is absent if there is no proof.
    */
   z.object({ type: z.literal('fresh'), stamp: z.number(), revision: z.number().nonnegative(), ageMs: z.number().nonnegative().optional() }),
   /**
-   * An entry gives tokens of quotas that it doesn't need, and asks for some. `stamp`: its steady clock in ms. `echo`: the last
-   * `bankStamp` on this channel and how long ago that came, by which it is known how long the frame was under way at most;
-   * without one, nothing is given.
+   * An entry returns quota tokens that it doesn't need, and asks for some. `stamp`: its boot-time clock in ms. `echo`: the last
+   * `bankStamp` received on this channel and how long ago it arrived, which bounds the transit time of this frame. Without an
+   * `echo`, no tokens are transferred.
    */
   z.object({
     type: z.literal('quota'),
@@ -196,10 +197,10 @@
     echo: z.object({ stamp: z.number(), heldMs: z.number().nonnegative() }).optional(),
     gives: z.array(TokenAge),
     wants: z.array(z.tuple([z.string().max(longestTeam), z.number().nonnegative()])),
-    /** The same of requests to servers that name a limit. */
+    /** The same for requests to servers that state a limit. */
     servers: z.object({ gives: z.array(RequestAge), wants: z.array(RequestWant).max(mostLimits) }).optional()
   }),
-  /** The answer to the frame with that stamp. `needed`: teams that were short of late, for which entries should give first. */
+  /** The answer to the `quota` frame with that stamp. `needed`: teams that recently lacked tokens, whose tokens entries should return first. */
   z.object({
     type: z.literal('quota_grant'),
     stamp: z.number(),
@@ -209,24 +210,24 @@
     servers: z.array(RequestAge).optional()
   }),
   /**
-   * Servers that ended under requests, requests that are sound, limits that servers name, and runs of requests whose quarantine had
-   * lapsed. An entry's frame is answered by its `stamp`. `ask`: a request whose quarantine has lapsed, which the sender would run.
+   * Attempt reports: server crashes during requests, requests that completed, limits stated by servers, and probes, which are
+   * runs of requests whose quarantine has expired. A frame from an entry is acknowledged with its `stamp`. `ask`: a request whose
+   * quarantine has expired and which the sender asks to run as a probe.
    */
   z.object({ type: z.literal('crashes'), stamp: z.number(), crashes: z.array(CrashAge).max(mostCrashes), sound: z.array(SoundAge).max(mostCrashes), limits: z.array(LimitAge).max(mostLimits).optional(), probes: z.array(SoundAge).max(mostCrashes).optional(), ask: RequestFingerprint.optional() }),
-  /** The frame with that stamp has come, and goes on to the entries that the sender tells its news. `granted`: whether what it asks may be run. */
+  /** Acknowledges the `crashes` frame with that stamp, which is also relayed to the subscribed entries. `granted`: whether the probe may be run. */
   z.object({ type: z.literal('crashes_noted'), stamp: z.number(), granted: z.boolean().optional() }),
-  /** Whether the receiver, an entry, is one of those that watch the store for its failure domain. */
   Appointment,
-  /** What the receiver asked for is held now. */
+  /** The adapter that the receiver asked for has been loaded. */
   z.object({ type: z.literal('arrived'), key: AdapterKey, version: z.number() }),
-  /** It can't be brought in now. */
+  /** The adapter can't be loaded now. */
   z.object({ type: z.literal('declined'), key: AdapterKey, reason: z.string().max(longestReason) }),
   /**
-   * Uses since the last such frame, and requests in progress, for each adapter that was used. `unread`: prompt tokens of
-   * the sender's requests that the engine has not read yet.
+   * For each adapter that was used: its key, its uses since the previous such frame, and its requests in progress. `unread`: prompt
+   * tokens of the sender's requests that the engine has not processed yet.
    */
   z.object({ type: z.literal('uses'), uses: z.array(z.tuple([AdapterKey, Count, Count])).max(mostUses), unread: Count.optional() }),
-  /** The highest fence that the receiver was ever known to use, or the newest revision known: it goes no lower. */
+  /** The highest fencing token that the receiver is known to have used, or the newest known revision; it must not use a lower one. */
   z.object({ type: z.literal('fences'), highest: Count }),
   z.object({ type: z.literal('heartbeat'), revision: Revision, load: Load.optional(), complete: Complete.optional(), sight: StoreSight.optional() }),
   z.object({ type: z.literal('run'), id: ExchangeId, work: Work }),
@@ -236,7 +237,7 @@
   z.object({ type: z.literal('failure'), id: ExchangeId, failure: Failure, load: Load.optional() }),
   z.object({ type: z.literal('cancel'), id: ExchangeId }),
   z.object({ type: z.literal('credit'), id: ExchangeId, bytes: z.number().int().positive() }),
-  /** Asks for the head and the shards that the sender lacks. */
+  /** Asks for the configuration's head and for the listed shards, which the sender lacks. */
   z.object({ type: z.literal('pull'), id: ExchangeId, shards: z.array(z.string().max(100)).max(2000) }),
   z.object({ type: z.literal('push'), id: ExchangeId, head: z.unknown(), shards: z.record(z.string(), z.string()) })
 ])
--- a/packages/wire/src/inbox.ts
+++ b/packages/wire/src/inbox.ts
@@ -1,30 +1,32 @@
 /**
- * An inbox: the chunks of one answer on their way from the channel's task to the answer's reader.
+ * Credit-based flow control for the chunks of one response: the receive buffer between the channel's task and the reader of
+ * the response, and the sender's window.
  *
- * The sender may be ahead of the reader by one window of bytes; reading gives credit back. Chunks must come in
- * order and add up to what the end frame says, else the answer ends in a failure: never short, never crossed.
+ * The sender may be ahead of the reader by one window of bytes; each read returns credit. Chunks must arrive in order and add up
+ * to the counts in the end frame. Otherwise the response fails, so that a caller never takes a truncated or mixed-up response
+ * for a complete one.
  */
 import { AnswerFailure, unknown, type Failure } from '@finchpitch/core'
 import type { FrameOf } from './frame.js'
 
-/** Bytes of one answer that may be under way or unread. */
+/** Maximum bytes of one response that are in transit or unread. */
 export const windowBytes = 256 * 1024
 
 export class Inbox {
   readonly #chunks: Uint8Array[] = []
-  #next = 0
+  #nextSequence = 0
   #bytes = 0
   #finished = false
   #failure: Failure | undefined
   #wake: (() => void) | undefined
 
-  constructor (private readonly credit: (bytes: number) => void) {}
+  constructor (private readonly returnCredit: (bytes: number) => void) {}
 
   chunk (frame: FrameOf<'chunk'>): void {
     if (this.#finished) return
-    if (frame.sequence < this.#next) return
-    if (frame.sequence > this.#next) return this.fail(unknown('answer_cut', { detail: `Chunk ${this.#next} is missing.` }))
-    this.#next += 1
+    if (frame.sequence < this.#nextSequence) return
+    if (frame.sequence > this.#nextSequence) return this.fail(unknown('answer_cut', { detail: `Chunk ${this.#nextSequence} is missing.` }))
+    this.#nextSequence += 1
     this.#bytes += frame.data.length
     this.#chunks.push(frame.data)
     this.#wake?.()
@@ -32,8 +34,8 @@
 
   end (frame: FrameOf<'end'>): void {
     if (this.#finished) return
-    const whole = frame.chunks === this.#next && frame.bytes === this.#bytes
-    if (!whole) return this.fail(unknown('answer_cut', { detail: `${this.#bytes} of ${frame.bytes} bytes came.` }))
+    const isComplete = frame.chunks === this.#nextSequence && frame.bytes === this.#bytes
+    if (!isComplete) return this.fail(unknown('answer_cut', { detail: `${this.#bytes} of ${frame.bytes} bytes came.` }))
     this.#finished = true
     this.#wake?.()
   }
@@ -49,7 +51,7 @@
     while (true) {
       const chunk = this.#chunks.shift()
       if (chunk !== undefined) {
-        this.credit(Math.max(1, chunk.length))
+        this.returnCredit(Math.max(1, chunk.length))
         yield chunk
       } else if (this.#failure !== undefined) {
         throw new AnswerFailure(this.#failure)
@@ -62,29 +64,29 @@
   }
 }
 
-/** The sender's half of the window. */
+/** The window on the sender's side. */
 export class Window {
-  #left = windowBytes
+  #available = windowBytes
   #wake: (() => void) | undefined
   #closed = false
 
   give (bytes: number): void {
-    this.#left += bytes
+    this.#available += bytes
     this.#wake?.()
   }
 
-  /** Ends every wait; nothing more will be sent. */
+  /** Releases a waiting sender; nothing more will be sent. */
   close (): void {
     this.#closed = true
     this.#wake?.()
   }
 
-  /** Waits until something may be sent; false once closed. */
+  /** Waits for credit, then deducts `bytes`, which may exceed it. Returns false once the window is closed. */
   async take (bytes: number): Promise<boolean> {
-    while (this.#left <= 0 && !this.#closed) {
+    while (this.#available <= 0 && !this.#closed) {
       await new Promise<void>(resolve => { this.#wake = resolve })
     }
-    this.#left -= bytes
+    this.#available -= bytes
     return !this.#closed
   }
 }
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,4 +1,4 @@
-/** Peer: the system's own processes, over TCP frames of CBOR. */
+/** Communication between the system's own processes: CBOR frames over TCP. */
 export * from './frame.js'
 export * from './quick-check.js'
 export * from './codec.js'
--- a/packages/wire/src/listener.ts
+++ b/packages/wire/src/listener.ts
@@ -1,19 +1,19 @@
 /**
- * Listening for and dialling channels over TCP.
+ * Listens for the TCP connections of channels, and opens them.
  */
 import { connect, createServer, type Socket } from 'node:net'
 import { once } from 'node:events'
 import type { Duplex } from 'node:stream'
 import { Address, splitAddress } from '@finchpitch/core'
 
-const connectMs = 1000
+const connectTimeoutMs = 1000
 
 export interface Listener {
   address: Address
   close: () => Promise<void>
 }
 
-/** Takes connections at `host:port`; port 0 lets the system choose. */
+/** Accepts connections at `host:port`; with port 0, the operating system chooses a free port. */
 export const listen = async (host: string, port: number, accept: (stream: Duplex) => Promise<void>): Promise<Listener> => {
   const open = new Set<Socket>()
   const server = createServer({ noDelay: true }, socket => {
@@ -24,7 +24,7 @@
   server.listen(port, host)
   await once(server, 'listening')
   const bound = server.address()
-  if (bound === null || typeof bound === 'string') throw new Error('a TCP listener has an address')
+  if (bound === null || typeof bound === 'string') throw new Error('expected a TCP listener to have an address')
   const close = async (): Promise<void> => {
     const closed = new Promise<void>(resolve => server.close(() => resolve()))
     for (const socket of open) socket.destroy()
@@ -33,10 +33,10 @@
   return { address: Address.parse(`${host}:${bound.port}`), close }
 }
 
-/** Opens a connection, or rejects within a second. */
+/** Opens a connection. Rejects if it is not established within a second. */
 export const dial = async (address: Address): Promise<Duplex> => {
   const socket = connect({ ...splitAddress(address), noDelay: true })
-  const timer = setTimeout(() => socket.destroy(new Error('no connection in time')), connectMs)
+  const timer = setTimeout(() => socket.destroy(new Error('connect timed out')), connectTimeoutMs)
   try {
     await once(socket, 'connect')
     return socket
@@ -45,5 +45,5 @@
   }
 }
 
-/** How channels are opened; tests put connections in memory in its place. */
+/** Opens the connection of a channel. Tests replace it by connections in memory. */
 export type Dial = (address: Address) => Promise<Duplex>
--- a/packages/wire/src/quick-check.ts
+++ b/packages/wire/src/quick-check.ts
@@ -1,52 +1,53 @@
 /**
- * A quick check of the frames that come most often: news of an engine, uses, heartbeats, what adapters and quotas are asked
- * for, and proofs of freshness.
+ * A fast path of frame validation, for the most frequent types: engine updates, uses, heartbeats, adapter demands, quota
+ * exchanges and freshness proofs.
  *
- * It says yes only to what surely fits the schema of frames; the rest goes to the schema, which decides and names the
- * fault. An entry of a large deployment reads some hundred frames a second in code that has run little: reading one of the
- * first 400 takes 30 µs and not 73, and 3 µs and not 6 once it has been compiled (three runs each of 400 and of 100,000).
+ * It accepts only frames that the schema certainly accepts without changing them. All others are left to the schema, which decides
+ * and reports the invalid field. An entry of a large deployment decodes some hundred frames per second, at first in code that has
+ * not been compiled yet. One of the first 400 frames takes 30 µs instead of 73 µs with the schema, and 3 µs instead of 6 µs once
+ * the code has been compiled.
  */
 import { StoreSight, longestAdapterKey, longestHost, longestReason, longestTeam, mostUses, type Frame, type FrameOf } from './frame.js'
 
 type Check = (value: unknown) => boolean
 
 const isCount: Check = value => Number.isSafeInteger(value) && (value as number) >= 0
-const isPosition: Check = value => Number.isFinite(value) && (value as number) >= 0
+const isNonNegative: Check = value => Number.isFinite(value) && (value as number) >= 0
 const isFlag: Check = value => typeof value === 'boolean'
 const isKey: Check = value => typeof value === 'string' && value.length <= longestAdapterKey
-const areKeys: Check = value => Array.isArray(value) && value.every(isKey)
+const isKeyArray: Check = value => Array.isArray(value) && value.every(isKey)
 const isUse: Check = value => Array.isArray(value) && value.length === 3 && isKey(value[0]) && isCount(value[1]) && isCount(value[2])
 
-const isPlain = (value: unknown): value is Record<string, unknown> =>
+const isPlainObject = (value: unknown): value is Record<string, unknown> =>
   typeof value === 'object' && value !== null && Object.getPrototypeOf(value) === Object.prototype
 
-const areVersions: Check = value => {
-  if (!isPlain(value)) return false
+const isVersionRecord: Check = value => {
+  if (!isPlainObject(value)) return false
   for (const key in value) if (!isKey(key) || !Number.isFinite(value[key])) return false
   return true
 }
 
-const sights: ReadonlySet<unknown> = new Set(StoreSight.options)
+const storeSights: ReadonlySet<unknown> = new Set(StoreSight.options)
 
 type Shape<Type extends Frame['type']> = { [Field in keyof FrameOf<Type>]?: Check }
 
-const complete: Record<string, Check> = { table: isPosition, server: isPosition, version: isPosition }
+const complete: Record<string, Check> = { table: isNonNegative, server: isNonNegative, version: isNonNegative }
 const completeFields = Object.keys(complete)
 
 const isTeam: Check = value => typeof value === 'string' && value.length <= longestTeam
-const isTeamTokens: Check = value => Array.isArray(value) && value.length === 2 && isTeam(value[0]) && isPosition(value[1])
-const isTokenAge: Check = value => Array.isArray(value) && value.length === 3 && isTeam(value[0]) && isPosition(value[1]) && isPosition(value[2])
-const areTokenAges: Check = value => Array.isArray(value) && value.every(isTokenAge)
-const echo: Record<string, Check> = { stamp: Number.isFinite, heldMs: isPosition }
+const isTokenWant: Check = value => Array.isArray(value) && value.length === 2 && isTeam(value[0]) && isNonNegative(value[1])
+const isAgedTokens: Check = value => Array.isArray(value) && value.length === 3 && isTeam(value[0]) && isNonNegative(value[1]) && isNonNegative(value[2])
+const isAgedTokensArray: Check = value => Array.isArray(value) && value.every(isAgedTokens)
+const echo: Record<string, Check> = { stamp: Number.isFinite, heldMs: isNonNegative }
 const echoFields = Object.keys(echo)
 
-/** Whether the value has all fields of `needed` and none without a check that it passes. */
-const fits = (value: Record<string, unknown>, shape: Record<string, Check>, needed: readonly string[]): boolean => {
+/** Whether the value has all required fields, and only fields that pass their check in `shape`. */
+const fits = (value: Record<string, unknown>, shape: Record<string, Check>, required: readonly string[]): boolean => {
   for (const field in value) if (!Object.hasOwn(shape, field) || shape[field]?.(value[field]) !== true) return false
-  return needed.every(field => Object.hasOwn(value, field))
+  return required.every(field => Object.hasOwn(value, field))
 }
 
-/** What a kind of frame may have; fields that come seldom are left out, and frames with one go to the schema. */
+/** The fields that a frame of each type may have. Rare fields are left out, so that frames with them are left to the schema. */
 const shapes = {
   holding: {
     type: value => value === 'holding',
@@ -55,9 +56,9 @@
     reachable: isFlag,
     server: value => value === null || typeof value === 'string',
     bornAt: value => value === null || Number.isFinite(value),
-    came: areVersions,
-    went: areKeys,
-    coming: areKeys,
+    came: isVersionRecord,
+    went: isKeyArray,
+    coming: isKeyArray,
     lost: isFlag,
     waiting: isCount,
     running: isCount,
@@ -74,8 +75,8 @@
   heartbeat: {
     type: value => value === 'heartbeat',
     revision: isCount,
-    complete: value => isPlain(value) && fits(value, complete, completeFields),
-    sight: value => sights.has(value)
+    complete: value => isPlainObject(value) && fits(value, complete, completeFields),
+    sight: value => storeSights.has(value)
   },
   want: {
     type: value => value === 'want',
@@ -96,36 +97,36 @@
   },
   caught_up: {
     type: value => value === 'caught_up',
-    complete: value => isPlain(value) && fits(value, complete, completeFields)
+    complete: value => isPlainObject(value) && fits(value, complete, completeFields)
   },
   ask_fresh: {
     type: value => value === 'ask_fresh',
     stamp: Number.isFinite,
-    revision: isPosition
+    revision: isNonNegative
   },
   fresh: {
     type: value => value === 'fresh',
     stamp: Number.isFinite,
-    revision: isPosition,
-    ageMs: isPosition
+    revision: isNonNegative,
+    ageMs: isNonNegative
   },
   quota: {
     type: value => value === 'quota',
     stamp: Number.isFinite,
-    echo: value => isPlain(value) && fits(value, echo, echoFields),
-    gives: areTokenAges,
-    wants: value => Array.isArray(value) && value.every(isTeamTokens)
+    echo: value => isPlainObject(value) && fits(value, echo, echoFields),
+    gives: isAgedTokensArray,
+    wants: value => Array.isArray(value) && value.every(isTokenWant)
   },
   quota_grant: {
     type: value => value === 'quota_grant',
     stamp: Number.isFinite,
     bankStamp: Number.isFinite,
-    grants: areTokenAges,
+    grants: isAgedTokensArray,
     needed: value => Array.isArray(value) && value.every(isTeam)
   }
 } satisfies { [Type in Frame['type']]?: Shape<Type> }
 
-const needed: Record<keyof typeof shapes, readonly string[]> = {
+const requiredFields: Record<keyof typeof shapes, readonly string[]> = {
   holding: ['host'],
   uses: ['uses'],
   heartbeat: ['revision'],
@@ -139,9 +140,9 @@
   quota_grant: ['stamp', 'bankStamp', 'grants', 'needed']
 }
 
-/** Whether the decoded value is a frame for certain. */
+/** Whether the decoded value is certainly a valid frame. False says nothing: the schema has to decide. */
 export const surelyFrame = (value: unknown): value is Frame => {
-  if (!isPlain(value) || typeof value.type !== 'string' || !Object.hasOwn(shapes, value.type)) return false
+  if (!isPlainObject(value) || typeof value.type !== 'string' || !Object.hasOwn(shapes, value.type)) return false
   const type = value.type as keyof typeof shapes
-  return fits(value, shapes[type], needed[type])
+  return fits(value, shapes[type], requiredFields[type])
 }
--- a/packages/wire/test/inbox.test.ts
+++ b/packages/wire/test/inbox.test.ts
@@ -6,29 +6,29 @@
 const load = { waiting: 0, running: 0, capacity: 1, epoch: 0, leaving: false }
 const end = (chunks: number, bytes: number): Parameters<Inbox['end']>[0] => ({ type: 'end', id: 1, chunks, bytes, load })
 
-const readAll = async (inbox: Inbox): Promise<string> => {
+const readAll = async (buffer: Inbox): Promise<string> => {
   let text = ''
   try {
-    for await (const piece of inbox.read()) text += Buffer.from(piece).toString()
+    for await (const bytes of buffer.read()) text += Buffer.from(bytes).toString()
     return `${text}|whole`
   } catch (error) {
     return `${text}|${(error as AnswerFailure).failure.code}`
   }
 }
 
-describe('window', () => {
-  it('holds a sender back until its reader has read', async () => {
+describe('send window', () => {
+  it('blocks the sender until credit is returned', async () => {
     const window = new Window()
     expect(await window.take(windowBytes)).to.equal(true)
-    let went = false
-    const next = window.take(1).then(() => { went = true })
+    let granted = false
+    const next = window.take(1).then(() => { granted = true })
     await new Promise(resolve => setImmediate(resolve))
-    expect(went).to.equal(false)
+    expect(granted).to.equal(false)
     window.give(1)
     await next
   })
 
-  it('lets a sender go when it is closed', async () => {
+  it('releases a waiting sender when it is closed', async () => {
     const window = new Window()
     await window.take(windowBytes)
     const next = window.take(1)
@@ -37,39 +37,39 @@
   })
 })
 
-describe('inbox', () => {
-  it('gives chunks in order and credit for each', async () => {
-    let credit = 0
-    const inbox = new Inbox(bytes => { credit += bytes })
-    inbox.chunk(chunk(0, 'ab'))
-    inbox.chunk(chunk(1, 'c'))
-    inbox.end(end(2, 3))
-    expect(await readAll(inbox)).to.equal('abc|whole')
-    expect(credit).to.equal(3)
+describe('receive buffer', () => {
+  it('yields chunks in order and returns credit for each', async () => {
+    let returnedCredit = 0
+    const buffer = new Inbox(bytes => { returnedCredit += bytes })
+    buffer.chunk(chunk(0, 'ab'))
+    buffer.chunk(chunk(1, 'c'))
+    buffer.end(end(2, 3))
+    expect(await readAll(buffer)).to.equal('abc|whole')
+    expect(returnedCredit).to.equal(3)
   })
 
-  it('takes a repeated chunk once', async () => {
-    const inbox = new Inbox(() => {})
-    inbox.chunk(chunk(0, 'a'))
-    inbox.chunk(chunk(0, 'a'))
-    inbox.end(end(1, 1))
-    expect(await readAll(inbox)).to.equal('a|whole')
+  it('ignores a repeated chunk', async () => {
+    const buffer = new Inbox(() => {})
+    buffer.chunk(chunk(0, 'a'))
+    buffer.chunk(chunk(0, 'a'))
+    buffer.end(end(1, 1))
+    expect(await readAll(buffer)).to.equal('a|whole')
   })
 
-  describe('an answer that is not whole', () => {
-    it('fails at a gap', async () => {
-      const inbox = new Inbox(() => {})
-      inbox.chunk(chunk(0, 'a'))
-      inbox.chunk(chunk(2, 'c'))
-      inbox.end(end(3, 3))
-      expect(await readAll(inbox)).to.equal('a|answer_cut')
+  describe('with an incomplete response', () => {
+    it('fails at a missing chunk', async () => {
+      const buffer = new Inbox(() => {})
+      buffer.chunk(chunk(0, 'a'))
+      buffer.chunk(chunk(2, 'c'))
+      buffer.end(end(3, 3))
+      expect(await readAll(buffer)).to.equal('a|answer_cut')
     })
 
-    it('fails when the end counts more than came', async () => {
-      const inbox = new Inbox(() => {})
-      inbox.chunk(chunk(0, 'a'))
-      inbox.end(end(2, 2))
-      expect(await readAll(inbox)).to.equal('a|answer_cut')
+    it('fails if the end frame counts more than was received', async () => {
+      const buffer = new Inbox(() => {})
+      buffer.chunk(chunk(0, 'a'))
+      buffer.end(end(2, 2))
+      expect(await readAll(buffer)).to.equal('a|answer_cut')
     })
   })
 })
--- a/packages/wire/test/quick-check.test.ts
+++ b/packages/wire/test/quick-check.test.ts
@@ -8,7 +8,7 @@
 const keys = fc.oneof(fc.array(key, { maxLength: 3 }), fc.constantFrom('m/a', [1], {}, null))
 const versions = fc.oneof(fc.dictionary(key, fc.oneof(fc.nat(), fc.nat(), fc.constantFrom(NaN, Infinity, '1', null)), { maxKeys: 3 }), fc.constantFrom([], [1], 'm/a', null, new Map([['m/a', 1]])))
 
-/** Frames of which some fit and some don't. */
+/** Valid and invalid frames; the generators below likewise mix valid and invalid values. */
 const holdings = fc.record({
   type: fc.constantFrom('holding', 'holding', 'holding', 'fact'),
   host: fc.constantFrom('10.0.0.1', '10.0.0.1', 'x'.repeat(64), 'x'.repeat(65), 7),
@@ -43,30 +43,30 @@
   load: fc.constantFrom({}, null)
 }, { requiredKeys: [] })
 
-const size = fc.oneof(fc.nat(), fc.double(), fc.constantFrom(0, 2.5, -1, NaN, Infinity, '3', null))
+const nonNegative = fc.oneof(fc.nat(), fc.double(), fc.constantFrom(0, 2.5, -1, NaN, Infinity, '3', null))
 const name = fc.oneof(fc.string(), fc.constantFrom('red', 'x'.repeat(200), 'x'.repeat(201), 5))
-const tokenAges = fc.oneof(fc.array(fc.tuple(name, size, size), { maxLength: 3 }), fc.constantFrom([['red', 1]], [[1, 1, 1]], null, {}))
+const agedTokens = fc.oneof(fc.array(fc.tuple(name, nonNegative, nonNegative), { maxLength: 3 }), fc.constantFrom([['red', 1]], [[1, 1, 1]], null, {}))
 
-const others = fc.record({
+const mixedFrames = fc.record({
   type: fc.constantFrom('want', 'declined', 'arrived', 'caught_up', 'ask_fresh', 'fresh', 'quota', 'quota_grant'),
   key,
-  version: size,
+  version: nonNegative,
   waiting: count,
   priority: count,
   reason: fc.constantFrom('places are in use', 'x'.repeat(100), 'x'.repeat(101), 4),
   complete: fc.oneof(fc.record({ table: count, server: count, version: count }, { requiredKeys: ['table'] }), fc.constantFrom(null, [])),
-  stamp: size,
-  bankStamp: size,
-  revision: size,
-  ageMs: size,
-  echo: fc.oneof(fc.record({ stamp: size, heldMs: size }, { requiredKeys: ['stamp'] }), fc.constantFrom(null, [])),
-  gives: tokenAges,
-  grants: tokenAges,
-  wants: fc.oneof(fc.array(fc.tuple(name, size), { maxLength: 3 }), fc.constantFrom([['red', 1, 1]], null)),
+  stamp: nonNegative,
+  bankStamp: nonNegative,
+  revision: nonNegative,
+  ageMs: nonNegative,
+  echo: fc.oneof(fc.record({ stamp: nonNegative, heldMs: nonNegative }, { requiredKeys: ['stamp'] }), fc.constantFrom(null, [])),
+  gives: agedTokens,
+  grants: agedTokens,
+  wants: fc.oneof(fc.array(fc.tuple(name, nonNegative), { maxLength: 3 }), fc.constantFrom([['red', 1, 1]], null)),
   needed: fc.oneof(fc.array(name, { maxLength: 3 }), fc.constantFrom(null, 'red'))
 }, { requiredKeys: ['type'] })
 
-/** Only the fields of its type, so that frames of each fit now and then. */
+/** The fields of each type. Frames are reduced to these, so that some of each type are valid. */
 const fieldsOf: Record<string, string[]> = {
   want: ['key', 'version', 'waiting', 'priority'],
   declined: ['key', 'reason'],
@@ -77,12 +77,12 @@
   quota: ['stamp', 'echo', 'gives', 'wants'],
   quota_grant: ['stamp', 'bankStamp', 'grants', 'needed']
 }
-const trimmed = others.map(frame => Object.fromEntries(Object.entries(frame).filter(([field]) => field === 'type' || fieldsOf[frame.type]?.includes(field))))
+const singleTypeFrames = mixedFrames.map(frame => Object.fromEntries(Object.entries(frame).filter(([field]) => field === 'type' || fieldsOf[frame.type]?.includes(field))))
 
-const frames = fc.oneof(holdings, uses, heartbeats, trimmed)
+const frames = fc.oneof(holdings, uses, heartbeats, singleTypeFrames)
 
-describe('the quick check of frames', () => {
-  it('takes nothing that the schema would not take, as it is', () => {
+describe('the fast path of frame validation', () => {
+  it('accepts only frames that the schema accepts unchanged', () => {
     fc.assert(fc.property(frames, frame => {
       if (!surelyFrame(frame)) return
       const parsed = Frame.safeParse(frame)
@@ -91,7 +91,7 @@
     }), { numRuns: 20_000 })
   })
 
-  it('takes what processes say most often', () => {
+  it('accepts the most frequent frames', () => {
     expect(surelyFrame({ type: 'holding', host: '10.0.0.1', running: 3 })).to.equal(true)
     expect(surelyFrame({ type: 'holding', host: '10.0.0.1', came: { 'm/a': 1 }, went: ['m/b'], coming: [], server: null })).to.equal(true)
     expect(surelyFrame({ type: 'uses', uses: [['m/a', 1, 0]], unread: 3 })).to.equal(true)
@@ -102,7 +102,7 @@
     expect(surelyFrame({ type: 'heartbeat', revision: 3, complete: { table: 1, server: 2.5, version: 0 }, sight: 'resting' })).to.equal(true)
   })
 
-  for (const [what, value] of Object.entries({ 'no object': 'holding', nothing: null, 'no host': { type: 'holding' }, 'a field it does not know': { type: 'holding', host: 'h', other: 1 }, 'a field of all objects': { type: 'holding', host: 'h', toString: 1 } })) {
-    it(`leaves ${what} to the schema`, () => { expect(surelyFrame(value)).to.equal(false) })
+  for (const [description, value] of Object.entries({ 'a string': 'holding', null: null, 'a missing host': { type: 'holding' }, 'an unknown field': { type: 'holding', host: 'h', other: 1 }, 'a field named like a method of all objects': { type: 'holding', host: 'h', toString: 1 } })) {
+    it(`leaves ${description} to the schema`, () => { expect(surelyFrame(value)).to.equal(false) })
   }
 })
