--- a/packages/daemon/src/catalog-exchange.ts
+++ b/packages/daemon/src/catalog-exchange.ts
@@ -1,59 +1,59 @@
 /**
- * Configuration between peers: each end of a channel can pull the other's head and shards.
+ * Exchange of the configuration between peers: each end of a channel can pull the head and the shards of the other.
  *
- * So a process that is behind catches up with the very peer that told it so, also while the store is down.
+ * A process with a stale configuration catches up from the very peer that announced a newer revision, also while the store is down.
  */
 import { within, type Revision } from '@finchpitch/core'
 import { Head, catchUp, storeFault, type Catalog, type ConfigurationSource, type StoreFault } from '@finchpitch/store'
 import type { Channel, Frame, FrameOf } from '@finchpitch/wire'
 import { err, ok, type Result } from 'neverthrow'
 
-const pullMs = 1000
-/** A push stays well under the frame limit; whoever lacks more pulls again. */
-const pushBytes = 1024 * 1024
+const pullTimeoutMs = 1000
+/** Keeps a push well below the frame limit; a peer that needs more shards pulls again. */
+const maxPushBytes = 1024 * 1024
 
 export class CatalogExchange implements ConfigurationSource {
-  readonly #waiting = new Map<number, (push: FrameOf<'push'>) => void>()
-  #next = 0
-  #pulling: Promise<void> | undefined
+  readonly #pendingPulls = new Map<number, (push: FrameOf<'push'>) => void>()
+  #nextId = 0
+  #activePull: Promise<void> | undefined
 
   constructor (private readonly catalog: Catalog, private readonly channel: Channel) {}
 
-  /** Handles what belongs here; every other frame is passed over. */
+  /** Handles frames that concern the configuration and ignores all others. */
   take (frame: Frame): void {
-    if (frame.type === 'pull') this.#push(frame)
-    else if (frame.type === 'push') this.#waiting.get(frame.id)?.(frame)
+    if (frame.type === 'pull') this.#sendPush(frame)
+    else if (frame.type === 'push') this.#pendingPulls.get(frame.id)?.(frame)
     else if (frame.type === 'heartbeat') this.see(frame.revision)
   }
 
-  /** The peer has said which revision it holds. */
+  /** Takes note of the revision that the peer reports, and pulls if it is newer than the local one. */
   see (revision: Revision): void {
     if (revision > this.catalog.revision) void this.pull()
   }
 
-  /** Catches up with the peer; many calls at once are one pull. */
+  /** Catches up with the peer; concurrent calls share one pull. */
   async pull (): Promise<void> {
-    this.#pulling ??= catchUp(this.catalog, this).then(() => { this.#pulling = undefined })
-    await this.#pulling
+    this.#activePull ??= catchUp(this.catalog, this).then(() => { this.#activePull = undefined })
+    await this.#activePull
   }
 
   close (): void {
-    this.#waiting.clear()
+    this.#pendingPulls.clear()
   }
 
   async head (): Promise<Result<Head | undefined, StoreFault>> {
-    const push = await this.#ask([])
+    const push = await this.#request([])
     return push.andThen(({ head }) => {
       if (head === undefined || head === null) return ok(undefined)
       const parsed = Head.safeParse(head)
-      return parsed.success ? ok(parsed.data) : err(storeFault('refused', 'a peer\'s head is not valid'))
+      return parsed.success ? ok(parsed.data) : err(storeFault('refused', 'the head that a peer sent is not valid'))
     })
   }
 
   async shards (hashes: string[]): Promise<Result<Map<string, string>, StoreFault>> {
     const texts = new Map<string, string>()
     while (texts.size < hashes.length) {
-      const push = await this.#ask(hashes.filter(hash => !texts.has(hash)))
+      const push = await this.#request(hashes.filter(hash => !texts.has(hash)))
       if (push.isErr()) return err(push.error)
       const found = Object.entries(push.value.shards)
       if (found.length === 0) break
@@ -62,21 +62,21 @@
     return ok(texts)
   }
 
-  async #ask (shards: string[]): Promise<Result<FrameOf<'push'>, StoreFault>> {
-    const id = this.#next++
-    const answered = new Promise<FrameOf<'push'>>(resolve => this.#waiting.set(id, resolve))
+  async #request (shards: string[]): Promise<Result<FrameOf<'push'>, StoreFault>> {
+    const id = this.#nextId++
+    const received = new Promise<FrameOf<'push'>>(resolve => this.#pendingPulls.set(id, resolve))
     const sent = this.channel.send({ type: 'pull', id, shards })
-    const push = sent ? await within(pullMs, answered, undefined) : undefined
-    this.#waiting.delete(id)
-    return push === undefined ? err(storeFault('unavailable', 'a peer did not answer a pull')) : ok(push)
+    const push = sent ? await within(pullTimeoutMs, received, undefined) : undefined
+    this.#pendingPulls.delete(id)
+    return push === undefined ? err(storeFault('unavailable', 'a peer did not answer a pull in time')) : ok(push)
   }
 
-  #push ({ id, shards }: FrameOf<'pull'>): void {
+  #sendPush ({ id, shards }: FrameOf<'pull'>): void {
     const texts: Record<string, string> = {}
     let bytes = 0
     for (const hash of shards) {
       const text = this.catalog.text(hash)
-      if (text === undefined || (bytes > 0 && bytes + text.length > pushBytes)) continue
+      if (text === undefined || (bytes > 0 && bytes + text.length > maxPushBytes)) continue
       texts[hash] = text
       bytes += text.length
     }
--- a/packages/daemon/src/commands/daemon-command.ts
+++ b/packages/daemon/src/commands/daemon-command.ts
@@ -1,23 +1,23 @@
 /**
- * What both commands of `finchpitchd` share: checked settings, and a planned stop on SIGTERM and SIGINT.
+ * Base class of both `finchpitchd` commands: validates settings, sets up the log and shuts down gracefully on SIGTERM and SIGINT.
  */
 import { Command } from '@oclif/core'
 import { BoundedLines, Log, printFindings, type Finding, type LogLevel, type ProcessId } from '@finchpitch/core'
 import type { Result } from 'neverthrow'
 import { invalidSettingsExit } from '../settings.js'
 
-/** A running process as its command sees it. */
+/** A started process, as its command controls it. */
 export interface Running {
-  /** Said in a line of standard output once everything listens: a launcher learns the ports from it. */
+  /** Addresses, printed as one line on standard output once all listeners are up, so that a launcher learns the ports. */
   listening: Record<string, string>
-  /** Ends whole what is in progress, then everything. */
+  /** Drains the requests in progress, then stops everything. */
   stop: () => Promise<void>
 }
 
-const standardOutput = 1
+const stdoutFd = 1
 
 export abstract class DaemonCommand extends Command {
-  readonly #lines = new BoundedLines(standardOutput)
+  readonly #logLines = new BoundedLines(stdoutFd)
 
   protected settingsOrExit<S> (settings: Result<S, Finding[]>): S {
     if (settings.isOk()) return settings.value
@@ -26,19 +26,19 @@
   }
 
   protected logFor (role: string, name: ProcessId, level: LogLevel): Log {
-    return new Log(role, { role, process: name }, level, this.#lines)
+    return new Log(role, { role, process: name }, level, this.#logLines)
   }
 
   protected async runUntilStopped (start: () => Promise<Running>): Promise<void> {
-    const asked = new Promise<void>(resolve => {
+    const stopRequested = new Promise<void>(resolve => {
       process.once('SIGTERM', resolve)
       process.once('SIGINT', resolve)
     })
     const running = await start()
     process.stdout.write(`${JSON.stringify({ event: 'listening', ...running.listening })}\n`)
-    await asked
+    await stopRequested
     await running.stop()
-    await this.#lines.end()
+    await this.#logLines.end()
     this.exit(0)
   }
 }
--- a/packages/daemon/src/commands/index.ts
+++ b/packages/daemon/src/commands/index.ts
@@ -1,4 +1,4 @@
-/** The commands of `finchpitchd`, by name. */
+/** The commands of `finchpitchd` by name. */
 import EntryCommand from './entry.js'
 import SideCommand from './side.js'
 
--- a/packages/daemon/src/commands/side.ts
+++ b/packages/daemon/src/commands/side.ts
@@ -1,13 +1,13 @@
-/** `finchpitchd side`: runs a side process until it is told to stop. */
+/** `finchpitchd side`: runs a side process until it receives SIGTERM or SIGINT. */
 import { SideSettings, noArguments, readSettings, sideFlags } from '../settings.js'
 import { startSide } from '../start-side.js'
 import { DaemonCommand } from './daemon-command.js'
 
 export default class SideCommand extends DaemonCommand {
-  static override summary = 'Run a side process: the only way in to the backend server beside it.'
+  static override summary = 'Run a side process, the sidecar through which all requests reach a backend server.'
   static override description = `Give --model for a model engine or --service for a plain service.
-Every setting is a flag or an environment variable, and all faults in them are reported together (exit code 2).
-SIGTERM: new work is refused as not run at once, work in progress ends whole, exit code 0.`
+Every setting is a flag or an environment variable, and all errors in them are reported together (exit code 2).
+SIGTERM: new requests are refused at once as not run, those in progress are drained, exit code 0.`
 
   static override examples = [
     '<%= config.bin %> <%= command.id %> --process side-1 --domain oslo-1 --platform http://10.0.0.5:8080 --operator-token-hash $HASH --backend http://127.0.0.1:9000 --model nb-7b',
--- a/packages/daemon/src/entry/dispatch.ts
+++ b/packages/daemon/src/entry/dispatch.ts
@@ -1,10 +1,10 @@
 /**
- * Dispatch: getting one request run, by the rules of its kind.
+ * Dispatches one request to a side process and retries it as far as that is safe.
  *
- * - Work that may be repeated is tried elsewhere until an answer has begun, within the retry budget.
- * - Work without a key that may not be repeated is tried elsewhere only while it is proved not run.
- * - Work with a key is bound to one incarnation first, and only that one is asked. After a proved refusal it may
- *   be bound anew; the store decides between entries that do so at once.
+ * - A repeatable request is retried at other side processes until a response has begun, within the retry budget.
+ * - A non-repeatable request without an idempotency key is retried only after a refusal that proves that it has not run.
+ * - A request with an idempotency key is first bound to one incarnation of a side process, and only that one may run it. After a
+ *   refusal it may be bound to another one; if several entries do so concurrently, the store's conditional update lets one win.
  */
 import { backoff, notRun, pause, randomToken, servingOf, targetLabel, unknown, type Answer, type Binding, type Failure, type Log, type Random, type Service, type Work } from '@finchpitch/core'
 import type { Once } from '@finchpitch/callers'
@@ -18,96 +18,98 @@
   sides: Sides
   claims: Claims
   catalog: Catalog
-  /** Brings the catalog up to a revision that a side process has seen. */
+  /** Brings the catalog up to date, after a side process has refused a request with a stale revision. */
   catchUp: () => Promise<void>
   log: Log
   random: Random
 }
 
-/** A try's end together with whether work that may be repeated should be tried again. */
-type Tried = Result<Answer, Failure>
+/** The response, once its head has arrived, or why there is none. */
+type DispatchResult = Result<Answer, Failure>
 
-const mostTries = 4
-const storeRetryMs = 1000
+const maxAttempts = 4
+const defaultRetryAfterMs = 1000
 
-/** Refusals that another process, or the same one a little later, may not give. */
-const elsewhere = new Set<Failure['code']>(['not_sent', 'leaving', 'overloaded', 'no_backend', 'stale_revision', 'load_failed', 'backend_unreachable', 'backend_refused', 'engine_restarted', 'keys_full'])
+/** Refusals that are worth a retry: another process, or the same one a little later, may accept the request. */
+const retryableRefusals = new Set<Failure['code']>(['not_sent', 'leaving', 'overloaded', 'no_backend', 'stale_revision', 'load_failed', 'backend_unreachable', 'backend_refused', 'engine_restarted', 'keys_full'])
 
 /**
- * An adapter has one list of preferred side processes, as it should be loaded at few. A plain service has nothing
- * to load: its requests are spread over as many lists as there are first characters of a request's id.
+ * The key for rendezvous hashing. All requests for an adapter share one list of preferred side processes, since it should be loaded
+ * at few of them. A plain service has nothing to load: its requests are spread over one list for each first character of a
+ * request id.
  */
 const preferenceKey = ({ id, target }: Pick<Work, 'id' | 'target'>): string =>
   target.kind === 'adapter' ? targetLabel(target) : `${targetLabel(target)}/${id.charAt(0)}`
 
 export class Dispatch {
-  readonly #budget = new RetryBudget()
+  readonly #retryBudget = new RetryBudget()
 
   constructor (private readonly options: DispatchOptions) {}
 
-  /** Runs work that has no key. */
-  async run (work: Work, repeatable: boolean, signal: AbortSignal): Promise<Tried> {
-    this.#budget.deposit()
+  /** Runs a request without an idempotency key. */
+  async run (work: Work, repeatable: boolean, signal: AbortSignal): Promise<DispatchResult> {
+    this.#retryBudget.deposit()
     const tried = new Set<string>()
-    let failure = notRun('no_backend', { retryAfterMs: storeRetryMs })
-    for (let tries = 0; tries < mostTries; tries++) {
-      const side = await this.#choose(work, tried)
+    let failure = notRun('no_backend', { retryAfterMs: defaultRetryAfterMs })
+    for (let attempts = 0; attempts < maxAttempts; attempts++) {
+      const side = await this.#selectSide(work, tried)
       if (side === undefined) return err(failure)
       const answer = await side.peer.run({ ...work, revision: this.options.catalog.revision }, signal)
       if (answer.isOk()) return answer
       failure = answer.error
-      if (!await this.#mayGoOn(failure, repeatable, tried, side, signal)) return err(failure)
+      if (!await this.#prepareRetry(failure, repeatable, tried, side, signal)) return err(failure)
     }
     return err(failure)
   }
 
-  /** Runs work with a key, at most once over all its tries. */
-  async runOnce (work: Work, once: Once, signal: AbortSignal): Promise<Tried> {
-    this.#budget.deposit()
+  /** Runs a request with an idempotency key, at most once over all its attempts. */
+  async runOnce (work: Work, once: Once, signal: AbortSignal): Promise<DispatchResult> {
+    this.#retryBudget.deposit()
     return isTicket(once.key) ? await this.#runTicket(work, once, signal) : await this.#runClaimed(work, once, signal)
   }
 
-  /** A ticket for the work's target; `undefined` while no process can take it. */
+  /** Issues a ticket for the request's target; `undefined` while no side process is available. */
   async ticket (work: Pick<Work, 'id' | 'target'>): Promise<Once['key'] | undefined> {
-    const side = await this.#choose(work, new Set())
+    const side = await this.#selectSide(work, new Set())
     return side === undefined ? undefined : issueTicket(side.process, side.peer.incarnation, side.peer.epoch)
   }
 
-  #choose (work: Pick<Work, 'id' | 'target'>, tried: ReadonlySet<string>): Promise<ChosenSide | undefined> {
+  #selectSide (work: Pick<Work, 'id' | 'target'>, tried: ReadonlySet<string>): Promise<ChosenSide | undefined> {
     return this.options.sides.choose(servingOf(work.target), preferenceKey(work), tried)
   }
 
-  async #mayGoOn (failure: Failure, repeatable: boolean, tried: Set<string>, side: ChosenSide, signal: AbortSignal): Promise<boolean> {
+  /** Whether the request may be retried; takes the retry from the budget and prepares for it. */
+  async #prepareRetry (failure: Failure, repeatable: boolean, tried: Set<string>, side: ChosenSide, signal: AbortSignal): Promise<boolean> {
     if (signal.aborted) return false
-    const harmless = failure.outcome === 'not_run' ? elsewhere.has(failure.code) : repeatable
-    if (!harmless || !this.#budget.withdraw()) return false
+    const isSafe = failure.outcome === 'not_run' ? retryableRefusals.has(failure.code) : repeatable
+    if (!isSafe || !this.#retryBudget.withdraw()) return false
     if (failure.code === 'stale_revision') await this.options.catchUp()
     else tried.add(side.process)
     return true
   }
 
-  async #runTicket (work: Work, once: Once, signal: AbortSignal): Promise<Tried> {
+  async #runTicket (work: Work, once: Once, signal: AbortSignal): Promise<DispatchResult> {
     const ticket = readTicket(once.key)
     if (ticket === undefined) return err(notRun('invalid_header', { detail: 'The Idempotency-Key is not a ticket of this system.' }))
     const address = this.options.sides.addressOf(ticket.process)
     if (address === undefined) return err(unknown('incarnation_gone'))
-    const answer = await this.#ask(work, once, bindingOf(ticket, address), signal)
+    const answer = await this.#runBound(work, once, bindingOf(ticket, address), signal)
     if (answer.isErr() && answer.error.code === 'stale_revision') await this.options.catchUp()
     return answer
   }
 
-  async #runClaimed (work: Work, once: Once, signal: AbortSignal): Promise<Tried> {
+  async #runClaimed (work: Work, once: Once, signal: AbortSignal): Promise<DispatchResult> {
     const id = claimId(work.team, once.key)
     const tried = new Set<string>()
     const first = await this.#bindFirst(work, id)
     if (first.isErr()) return err(await this.#claimFailure(work, once, first.error))
     let binding = first.value
-    for (let tries = 1; ; tries++) {
-      const answer = await this.#ask(work, once, binding, signal)
+    for (let attempts = 1; ; attempts++) {
+      const answer = await this.#runBound(work, once, binding, signal)
       if (answer.isOk() || answer.error.outcome === 'unknown') return answer
-      const next = tries < mostTries ? await this.#bindNext(work, id, binding, answer.error, tried, signal) : undefined
-      // Only a binding that was asked and has refused may be confirmed as not run.
-      if (next === undefined) return err(await this.#confirm(id, binding, answer.error))
+      const next = attempts < maxAttempts ? await this.#rebind(work, id, binding, answer.error, tried, signal) : undefined
+      // Only the binding that was asked and has refused may be confirmed as not run.
+      if (next === undefined) return err(await this.#confirmRefusal(id, binding, answer.error))
       binding = next
     }
   }
@@ -115,44 +117,44 @@
   async #bindFirst (work: Work, id: string): Promise<Result<Binding, StoreFault | Failure>> {
     const bound = await this.#bind(work, id, undefined, new Set())
     if (bound.isOk() || !('outcome' in bound.error)) return bound
-    // No process can take it now, but an earlier try may have been bound.
+    // No side process is available now, but an earlier attempt may have bound the key.
     const found = await this.options.claims.read(id)
     return found.isOk() && found.value !== undefined ? ok(found.value) : bound
   }
 
-  /** Binds the key anew after a refusal; `undefined` where that makes no sense or can't be done. */
-  async #bindNext (work: Work, id: string, binding: Binding, refusal: Failure, tried: Set<string>, signal: AbortSignal): Promise<Binding | undefined> {
-    if (!elsewhere.has(refusal.code) || signal.aborted) return undefined
+  /** Binds the key to another side process after a refusal; `undefined` if a retry is useless or the binding fails. */
+  async #rebind (work: Work, id: string, binding: Binding, refusal: Failure, tried: Set<string>, signal: AbortSignal): Promise<Binding | undefined> {
+    if (!retryableRefusals.has(refusal.code) || signal.aborted) return undefined
     if (refusal.code === 'stale_revision') await this.options.catchUp()
     else tried.add(binding.process)
     const next = await this.#bind(work, id, binding.nonce, tried)
     return next.isOk() ? next.value : undefined
   }
 
-  /** Binds the key to the best side process; `from` names a binding that was refused for good. */
+  /** Binds the key to the preferred side process. `from` is the nonce of a binding whose refusal is final, to be replaced. */
   async #bind (work: Work, id: string, from: string | undefined, tried: ReadonlySet<string>): Promise<Result<Binding, StoreFault | Failure>> {
-    const side = await this.#choose(work, tried)
-    if (side === undefined) return err(notRun('no_backend', { retryAfterMs: storeRetryMs }))
+    const side = await this.#selectSide(work, tried)
+    if (side === undefined) return err(notRun('no_backend', { retryAfterMs: defaultRetryAfterMs }))
     const { process, address, peer } = side
     const binding = { process, address, incarnation: peer.incarnation, epoch: peer.epoch, nonce: randomToken() }
     return from === undefined ? await this.options.claims.bind(id, binding) : await this.options.claims.rebind(id, from, binding)
   }
 
   /**
-   * A refusal is the key's last word only while its binding is the last one: another entry may have bound the key
-   * anew and had it run.
+   * A refusal is reported as `not_run` only while its binding is still the current one: another entry may have bound the key to
+   * another side process, where the request ran.
    */
-  async #confirm (id: string, binding: Binding, refusal: Failure): Promise<Failure> {
+  async #confirmRefusal (id: string, binding: Binding, refusal: Failure): Promise<Failure> {
     const found = await this.options.claims.read(id)
     if (found.isOk() && found.value?.nonce === binding.nonce) return refusal
     const detail = 'Another try of this key may have been run. Ask again with the same key.'
-    return unknown(refusal.code, { detail, retryAfterMs: refusal.retryAfterMs ?? storeRetryMs })
+    return unknown(refusal.code, { detail, retryAfterMs: refusal.retryAfterMs ?? defaultRetryAfterMs })
   }
 
-  /** Asks the bound incarnation, over a second connection if the first is lost; it answers a key once. */
-  async #ask (work: Work, once: Once, binding: Binding, signal: AbortSignal): Promise<Tried> {
+  /** Sends the request to the bound incarnation, which runs a key once; reconnects and repeats it if the connection is lost. */
+  async #runBound (work: Work, once: Once, binding: Binding, signal: AbortSignal): Promise<DispatchResult> {
     let failure: Failure = unknown('incarnation_gone')
-    for (let failures = 0; failures < mostTries && !signal.aborted; failures++) {
+    for (let failures = 0; failures < maxAttempts && !signal.aborted; failures++) {
       if (failures > 0) await pause(backoff(failures, this.options.random), signal)
       const peer = await this.options.sides.reach(binding.process, binding.address)
       if (peer === undefined) continue
@@ -160,7 +162,7 @@
       const bound = { ...work, revision: this.options.catalog.revision, once: { key: once.key, binding } }
       const answer = await peer.run(bound, signal)
       if (answer.isOk()) return answer
-      // Not having sent it this time refuses nothing: an earlier ask, or another entry's, may have arrived.
+      // Not a refusal: an earlier attempt, or one of another entry, may have arrived.
       if (answer.error.code === 'not_sent') continue
       if (answer.error.code !== 'connection_lost') return answer
       failure = answer.error
@@ -168,21 +170,22 @@
     return err(failure)
   }
 
+  /** The failure of a request whose key could not be bound, because of the store or for lack of a side process. */
   async #claimFailure (work: Work, once: Once, fault: StoreFault | Failure): Promise<Failure> {
     if (!('outcome' in fault)) return await this.#storeFailure(work, once, fault)
-    return once.firstTry ? fault : unknown(fault.code, { retryAfterMs: storeRetryMs })
+    return once.firstTry ? fault : unknown(fault.code, { retryAfterMs: defaultRetryAfterMs })
   }
 
-  /** Without the store only a first try is known not to have run; any other may have, in an earlier try. */
+  /** While the store is down, only a first attempt is known not to have run; for a retry, an earlier attempt may have. */
   async #storeFailure (work: Work, once: Once, fault: StoreFault): Promise<Failure> {
     this.options.log.warn('claim.failed', { request: work.id, fault: fault.code, detail: fault.detail })
-    const more = { retryAfterMs: storeRetryMs }
+    const more = { retryAfterMs: defaultRetryAfterMs }
     if (!once.firstTry) return unknown('store_unavailable', { ...more, detail: 'This try was not run; an earlier one may have been. Ask again with the same key.' })
-    const ticket = this.#service(work)?.onStoreOutage === 'ticket' ? await this.ticket(work) : undefined
+    const ticket = this.#serviceOf(work)?.onStoreOutage === 'ticket' ? await this.ticket(work) : undefined
     return notRun('store_unavailable', { ...more, ...(ticket === undefined ? {} : { ticket, detail: 'Ask again with the ticket as the key.' }) })
   }
 
-  #service ({ target }: Work): Service | undefined {
+  #serviceOf ({ target }: Work): Service | undefined {
     return target.kind === 'service' ? this.options.catalog.service(target.service) : undefined
   }
 }
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,8 +1,8 @@
 /**
- * The entry instance: stateless but for hints.
+ * The entry instance, a stateless proxy: what it holds in memory is only a cache.
  *
- * It resolves what callers ask, has it run by a side process and passes the answer on. It also holds the
- * configuration for its peers, and watches the store when it is one of its failure domain's few watchers.
+ * It authenticates and resolves callers' requests, dispatches them to side processes and streams the responses back. It also
+ * serves the configuration to its peers, and watches the store while it is one of the few watchers of its failure domain.
  */
 import type { Duplex } from 'node:stream'
 import { deadlineIn, notRun, pause, untried, type Address, type Answer, type Failure, type FailureDomain, type Incarnation, type Log, type ProcessId, type Random, type Work } from '@finchpitch/core'
@@ -30,16 +30,17 @@
   random: Random
 }
 
-const roleCheckMs = 1000
-const answerMarginMs = 250
-const leastPatience = 0.8
+/** Interval at which the entry checks whether it is a watcher. */
+const dutyCheckMs = 1000
+const timeoutMarginMs = 250
+const minTimeoutShare = 0.8
 
 export class Entry {
   readonly sides: Sides
-  readonly #dispatch: Dispatch
-  readonly #limits = new TeamLimits()
-  readonly #stop = new AbortController()
-  readonly #peers = new Set<Channel>()
+  readonly #dispatcher: Dispatch
+  readonly #teamLimits = new TeamLimits()
+  readonly #shutdown = new AbortController()
+  readonly #uplinkPeers = new Set<Channel>()
   #instances: Instance[] = []
   #running = 0
 
@@ -47,8 +48,8 @@
     const { catalog, dial, log, random, store } = options
     this.sides = new Sides({ dial, channel: this.#channelOptions, catalog, log, random })
     const claims = new Claims({ store, random, buckets: defaultBuckets, keptMs: defaultKeptMs })
-    this.#dispatch = new Dispatch({ sides: this.sides, claims, catalog, catchUp: () => this.catchUp(), log, random })
-    catalog.onMove(() => this.#announce())
+    this.#dispatcher = new Dispatch({ sides: this.sides, claims, catalog, catchUp: () => this.catchUp(), log, random })
+    catalog.onMove(() => this.#broadcastRevision())
   }
 
   get running (): number {
@@ -63,65 +64,65 @@
     return this.#instances
   }
 
-  /** Runs the entry's own tasks until it is closed. */
+  /** Runs the background tasks until the entry is closed. */
   async run (): Promise<void> {
     const { instances, log, random, process, domain, catalog, dial } = this.options
-    const { signal } = this.#stop
+    const { signal } = this.#shutdown
     const update = (list: Instance[]): void => {
       this.#instances = list
       this.sides.update(list)
     }
     await Promise.all([
       watchInstances({ list: instances, log, random, update, signal }),
-      this.#watch(),
+      this.#watchStore(),
       keepUplink({ process, domain, instances: async () => this.#instances, catalog, channel: this.#channelOptions, dial, log, random, signal })
     ])
   }
 
-  /** Takes one connection of a peer that follows the configuration here. */
+  /** Handles the connection of a peer that has this entry as its uplink, until it ends. */
   async accept (stream: Duplex): Promise<void> {
     const channel = new Channel(stream, this.#channelOptions)
-    this.#peers.add(channel)
+    this.#uplinkPeers.add(channel)
     await readPeer(channel, this.options.catalog)
-    this.#peers.delete(channel)
+    this.#uplinkPeers.delete(channel)
   }
 
-  /** Serves one ask; the answer's body ends the request. */
+  /** Serves one request, which is in progress until the response body has been read or abandoned. */
   async serve (ask: Ask, signal: AbortSignal): Promise<Result<Answer, Failure>> {
     const resolved = resolve(ask, this.options.catalog)
-    if (resolved.isErr()) return err(this.#untried(ask, resolved.error))
-    const leave = this.#limits.enter(resolved.value.team)
-    if (leave.isErr()) return err(this.#untried(ask, leave.error))
+    if (resolved.isErr()) return err(this.#failureBeforeLookup(ask, resolved.error))
+    const release = this.#teamLimits.enter(resolved.value.team)
+    if (release.isErr()) return err(this.#failureBeforeLookup(ask, release.error))
     const deadline = deadlineIn(ask.patienceMs, signal)
     this.#running += 1
     const done = (): void => {
       deadline.clear()
-      leave.value()
+      release.value()
       this.#running -= 1
     }
-    const answer = await this.#run(ask, { ...resolved.value.work, patienceMs: patienceAt(ask.patienceMs) }, deadline.signal)
-    if (answer.isOk()) return ok({ ...answer.value, body: finishing(answer.value.body, done) })
+    const answer = await this.#run(ask, { ...resolved.value.work, patienceMs: sideTimeoutMs(ask.patienceMs) }, deadline.signal)
+    if (answer.isOk()) return ok({ ...answer.value, body: withCompletion(answer.value.body, done) })
     done()
     return err(answer.error.code === 'cancelled' && !signal.aborted ? { ...answer.error, code: 'deadline' } : answer.error)
   }
 
-  /** A key that needs no store, for what `ask` names. */
+  /** Issues a ticket, an idempotency key that doesn't depend on the store, for the target that `ask` names. */
   async ticket (ask: Ask): Promise<Result<string, Failure>> {
     const resolved = resolve(ask, this.options.catalog)
     if (resolved.isErr()) return err(resolved.error)
-    const ticket = await this.#dispatch.ticket(resolved.value.work)
-    return ticket === undefined ? err(notRun('no_backend', { retryAfterMs: roleCheckMs })) : ok(ticket)
+    const ticket = await this.#dispatcher.ticket(resolved.value.work)
+    return ticket === undefined ? err(notRun('no_backend', { retryAfterMs: dutyCheckMs })) : ok(ticket)
   }
 
-  /** Brings the catalog up to date, from the store or from any peer. */
+  /** Brings the catalog up to date, from the store or, if that fails, from the connected side processes. */
   async catchUp (): Promise<void> {
     const moved = await catchUp(this.options.catalog, new StoreSource(this.options.store))
     if (moved.isErr()) await Promise.all(this.sides.peers.map(peer => peer.pull()))
   }
 
   close (): void {
-    this.#stop.abort()
-    for (const channel of this.#peers) channel.close()
+    this.#shutdown.abort()
+    for (const channel of this.#uplinkPeers) channel.close()
     this.sides.close()
   }
 
@@ -133,35 +134,35 @@
     }
   }
 
-  #announce (): void {
+  #broadcastRevision (): void {
     const frame: FrameOf<'heartbeat'> = { type: 'heartbeat', revision: this.options.catalog.revision }
-    for (const channel of this.#peers) channel.send(frame)
+    for (const channel of this.#uplinkPeers) channel.send(frame)
     this.sides.announce(frame)
   }
 
   #run (ask: Ask, work: Work, signal: AbortSignal): Promise<Result<Answer, Failure>> {
     return ask.once === undefined
-      ? this.#dispatch.run(work, ask.repeatable, signal)
-      : this.#dispatch.runOnce(work, ask.once, signal)
+      ? this.#dispatcher.run(work, ask.repeatable, signal)
+      : this.#dispatcher.runOnce(work, ask.once, signal)
   }
 
-  /** Refused before the key was looked up: only a first try is known not to have run. */
-  #untried (ask: Ask, failure: Failure): Failure {
+  /** Adapts a failure that precedes the lookup of the idempotency key: only a first attempt is then known not to have run. */
+  #failureBeforeLookup (ask: Ask, failure: Failure): Failure {
     return ask.once === undefined || ask.once.firstTry ? failure : untried(failure)
   }
 
-  /** Watches the store while this entry is one of its domain's watchers, or knows of none. */
-  async #watch (): Promise<void> {
+  /** Watches the store while this entry is one of the watchers of its failure domain, or knows of none. */
+  async #watchStore (): Promise<void> {
     const { store, catalog, log, random } = this.options
-    while (!this.#stop.signal.aborted) {
+    while (!this.#shutdown.signal.aborted) {
       if (this.#isWatcher()) {
-        const turn = new AbortController()
-        const following = follow({ store, catalog, log, random, signal: turn.signal })
-        while (this.#isWatcher() && !this.#stop.signal.aborted) await pause(roleCheckMs, this.#stop.signal)
-        turn.abort()
-        await following
+        const duty = new AbortController()
+        const watching = follow({ store, catalog, log, random, signal: duty.signal })
+        while (this.#isWatcher() && !this.#shutdown.signal.aborted) await pause(dutyCheckMs, this.#shutdown.signal)
+        duty.abort()
+        await watching
       }
-      await pause(roleCheckMs, this.#stop.signal)
+      await pause(dutyCheckMs, this.#shutdown.signal)
     }
   }
 
@@ -171,10 +172,11 @@
   }
 }
 
-/** A side process gives up a little before the caller does, so that its proved refusal still arrives. */
-const patienceAt = (patienceMs: number): number => Math.max(patienceMs - answerMarginMs, patienceMs * leastPatience)
+/** The side process times out a little before the caller, so that its refusal still arrives as a proof that nothing ran. */
+const sideTimeoutMs = (patienceMs: number): number => Math.max(patienceMs - timeoutMarginMs, patienceMs * minTimeoutShare)
 
-async function * finishing (body: AsyncIterable<Uint8Array>, done: () => void): AsyncGenerator<Uint8Array> {
+/** Calls `done` once the body has been read, has failed or is abandoned. */
+async function * withCompletion (body: AsyncIterable<Uint8Array>, done: () => void): AsyncGenerator<Uint8Array> {
   try {
     yield * body
   } finally {
--- a/packages/daemon/src/entry/resolve.ts
+++ b/packages/daemon/src/entry/resolve.ts
@@ -1,8 +1,8 @@
 /**
- * Resolving: from what a caller asked to exact work, at one revision of the configuration.
+ * Authenticates a caller's request and resolves it to an exact target, at one revision of the configuration.
  *
- * An alias is turned into its version here and nowhere else. A team that may not use something hears the same as
- * if it did not exist.
+ * This is the only place where an alias is resolved to its version. A team without access to something gets the same error as if
+ * it did not exist.
  */
 import { notRun, versionOf, type Failure, type Target, type Team, type Work } from '@finchpitch/core'
 import type { Ask, AskedTarget } from '@finchpitch/callers'
--- a/packages/daemon/src/entry/side-peer.ts
+++ b/packages/daemon/src/entry/side-peer.ts
@@ -1,5 +1,5 @@
 /**
- * A side process as an entry sees it: one channel, the exchanges on it, and how full it is.
+ * An entry's connection to one side process: a channel, the requests multiplexed on it, and the last reported load.
  */
 import { noRevision, notRun, unknown, pause, within, type Address, type Answer, type Failure, type Incarnation, type Log, type Revision, type Work } from '@finchpitch/core'
 import type { Occupancy } from '@finchpitch/decisions'
@@ -8,45 +8,45 @@
 import { err, ok, type Result } from 'neverthrow'
 import { CatalogExchange } from '../catalog-exchange.js'
 
-const helloMs = 1000
-/** A channel without exchanges is closed after this time; many entries and sides rarely meet. */
+const helloTimeoutMs = 1000
+/** A channel without requests is closed after this time: in a large system, most pairs of entry and side process rarely talk. */
 export const idleMs = 60_000
 
-interface Pending {
+interface PendingRequest {
   inbox: Inbox
   head: (head: Result<FrameOf<'head'>, Failure>) => void
 }
 
 export interface SideAnswer extends Answer {
-  /** Whether the target needed no load. */
+  /** Whether the adapter was already loaded when the request arrived; always true for a plain service. */
   resident: boolean
 }
 
 export class SidePeer {
-  readonly #exchanges = new Map<number, Pending>()
+  readonly #pending = new Map<number, PendingRequest>()
   readonly #configuration: CatalogExchange
-  #next = 0
+  #nextId = 0
   #load: Load | undefined
-  #sentSince = 0
+  #sentSinceReport = 0
   #revision = noRevision
-  #usedAt = Date.now()
+  #lastUsedAt = Date.now()
 
   private constructor (private readonly channel: Channel, catalog: Catalog, private readonly log: Log) {
     this.#configuration = new CatalogExchange(catalog, channel)
   }
 
-  /** Opens a channel and waits for the peer's hello. */
+  /** Opens a channel and waits for the peer's hello. `undefined` if the peer can't be reached or doesn't send one in time. */
   static async connect (dial: Dial, address: Address, options: ChannelOptions, catalog: Catalog, log: Log): Promise<SidePeer | undefined> {
     try {
       const channel = new Channel(await dial(address), options)
       const peer = new SidePeer(channel, catalog, log)
-      void peer.#read()
-      if (!await within(helloMs, channel.greeted, false)) {
+      void peer.#readFrames()
+      if (!await within(helloTimeoutMs, channel.greeted, false)) {
         channel.close()
         return undefined
       }
-      peer.#seeLoad(channel.peer.load)
-      peer.#seeRevision(channel.peer.revision)
+      peer.#updateLoad(channel.peer.load)
+      peer.#updateRevision(channel.peer.revision)
       void peer.#closeWhenIdle()
       return peer
     } catch (error) {
@@ -71,7 +71,7 @@
     return this.#load?.epoch ?? 0
   }
 
-  /** The highest revision that the peer has named. */
+  /** The configuration revision that the peer last reported. */
   get revision (): Revision {
     return this.#revision
   }
@@ -86,22 +86,22 @@
 
   get occupancy (): Occupancy {
     const load = this.#load
-    return { reportedRequests: load === undefined ? 0 : load.waiting + load.running, sentSinceReport: this.#sentSince, capacity: load?.capacity ?? 1 }
+    return { reportedRequests: load === undefined ? 0 : load.waiting + load.running, sentSinceReport: this.#sentSinceReport, capacity: load?.capacity ?? 1 }
   }
 
-  /** Sends work and waits for the answer's head, or a failure; `not_sent` is this end's word, not the peer's. */
+  /** Sends a request and waits for the response head or a failure. `not_sent` is decided locally and says nothing about the peer. */
   async run (work: Work, signal: AbortSignal): Promise<Result<SideAnswer, Failure>> {
     if (signal.aborted) return err(notRun('not_sent', { detail: 'The caller no longer waits.' }))
-    const id = this.#next++
-    this.#usedAt = Date.now()
+    const id = this.#nextId++
+    this.#lastUsedAt = Date.now()
     const inbox = new Inbox(bytes => this.channel.send({ type: 'credit', id, bytes }))
     const head = await new Promise<Result<FrameOf<'head'>, Failure>>(resolve => {
-      this.#exchanges.set(id, { inbox, head: resolve })
+      this.#pending.set(id, { inbox, head: resolve })
       signal.addEventListener('abort', () => this.#cancel(id), { once: true })
-      this.#sentSince += 1
-      if (!this.channel.send({ type: 'run', id, work })) this.#end(id, notRun('not_sent', { detail: 'The channel had ended.' }))
+      this.#sentSinceReport += 1
+      if (!this.channel.send({ type: 'run', id, work })) this.#failRequest(id, notRun('not_sent', { detail: 'The channel had ended.' }))
     })
-    return head.map(({ status, headers, resident }) => ({ status, headers, resident, body: this.#body(id, inbox) }))
+    return head.map(({ status, headers, resident }) => ({ status, headers, resident, body: this.#readBody(id, inbox) }))
   }
 
   pull (): Promise<void> {
@@ -116,7 +116,7 @@
     this.channel.close()
   }
 
-  async * #body (id: number, inbox: Inbox): AsyncGenerator<Uint8Array> {
+  async * #readBody (id: number, inbox: Inbox): AsyncGenerator<Uint8Array> {
     try {
       yield * inbox.read()
     } finally {
@@ -124,61 +124,61 @@
     }
   }
 
-  /** Nobody reads the exchange any more. */
+  /** Cancels a request whose response nobody reads any more. */
   #cancel (id: number): void {
-    if (!this.#exchanges.has(id)) return
+    if (!this.#pending.has(id)) return
     this.channel.send({ type: 'cancel', id })
-    this.#end(id, unknown('cancelled'))
+    this.#failRequest(id, unknown('cancelled'))
   }
 
-  #end (id: number, failure: Failure): void {
-    const pending = this.#exchanges.get(id)
-    this.#exchanges.delete(id)
+  #failRequest (id: number, failure: Failure): void {
+    const pending = this.#pending.get(id)
+    this.#pending.delete(id)
     pending?.head(err(failure))
     pending?.inbox.fail(failure)
   }
 
-  async #read (): Promise<void> {
-    for await (const frame of this.channel.frames()) this.#take(frame)
-    for (const id of [...this.#exchanges.keys()]) this.#end(id, unknown('connection_lost'))
+  async #readFrames (): Promise<void> {
+    for await (const frame of this.channel.frames()) this.#handleFrame(frame)
+    for (const id of [...this.#pending.keys()]) this.#failRequest(id, unknown('connection_lost'))
     this.#configuration.close()
     this.log.debug('side.channel_ended', { ...await this.channel.ended })
   }
 
-  #seeLoad (load: Load | undefined): void {
+  #updateLoad (load: Load | undefined): void {
     if (load === undefined) return
     this.#load = load
-    this.#sentSince = 0
+    this.#sentSinceReport = 0
   }
 
-  #seeRevision (revision: Revision): void {
+  #updateRevision (revision: Revision): void {
     this.#revision = revision
     this.#configuration.see(revision)
   }
 
-  #take (frame: Frame): void {
-    if (frame.type === 'head') this.#exchanges.get(frame.id)?.head(ok(frame))
-    else if (frame.type === 'chunk') this.#exchanges.get(frame.id)?.inbox.chunk(frame)
-    else if (frame.type === 'end') this.#finish(frame)
-    else if (frame.type === 'failure') this.#fail(frame)
-    else this.#learn(frame)
+  #handleFrame (frame: Frame): void {
+    if (frame.type === 'head') this.#pending.get(frame.id)?.head(ok(frame))
+    else if (frame.type === 'chunk') this.#pending.get(frame.id)?.inbox.chunk(frame)
+    else if (frame.type === 'end') this.#handleEnd(frame)
+    else if (frame.type === 'failure') this.#handleFailure(frame)
+    else this.#handleUpdate(frame)
   }
 
-  #finish (frame: FrameOf<'end'>): void {
-    this.#seeLoad(frame.load)
-    this.#exchanges.get(frame.id)?.inbox.end(frame)
-    this.#exchanges.delete(frame.id)
+  #handleEnd (frame: FrameOf<'end'>): void {
+    this.#updateLoad(frame.load)
+    this.#pending.get(frame.id)?.inbox.end(frame)
+    this.#pending.delete(frame.id)
   }
 
-  #fail ({ id, failure, load }: FrameOf<'failure'>): void {
-    this.#seeLoad(load)
-    this.#end(id, failure)
+  #handleFailure ({ id, failure, load }: FrameOf<'failure'>): void {
+    this.#updateLoad(load)
+    this.#failRequest(id, failure)
   }
 
-  #learn (frame: Frame): void {
+  #handleUpdate (frame: Frame): void {
     if (frame.type === 'heartbeat') {
-      this.#seeLoad(frame.load)
-      this.#seeRevision(frame.revision)
+      this.#updateLoad(frame.load)
+      this.#updateRevision(frame.revision)
     } else {
       this.#configuration.take(frame)
     }
@@ -187,7 +187,7 @@
   async #closeWhenIdle (): Promise<void> {
     while (this.channel.open) {
       await Promise.race([pause(idleMs / 2), this.channel.ended])
-      if (this.#exchanges.size === 0 && Date.now() - this.#usedAt > idleMs) this.channel.close()
+      if (this.#pending.size === 0 && Date.now() - this.#lastUsedAt > idleMs) this.channel.close()
     }
   }
 }
--- a/packages/daemon/src/entry/sides.ts
+++ b/packages/daemon/src/entry/sides.ts
@@ -1,8 +1,8 @@
 /**
- * The side processes that an entry knows of: from the instance list, which lags, and from their own words.
+ * The side processes that an entry can select, from the instance list, which lags, and from what they report themselves.
  *
- * A side process that says it is leaving is believed at once; the list is not asked. One that can't be reached is
- * left alone for a growing, spread time, so that a failure domain's return is not met by a storm.
+ * A side process that reports that it is draining gets no new requests, whatever the list says. After a failed connection, the next
+ * one is delayed by exponential backoff with jitter, so that the recovery of a failure domain doesn't cause a connection storm.
  */
 import { backoff, servingName, type Address, type Log, type ProcessId, type Random, type Revision, type Serving } from '@finchpitch/core'
 import { hashCandidates, rankHashedCandidates, selectBoundedLoad, type HashedCandidate, type Occupancy } from '@finchpitch/decisions'
@@ -19,18 +19,18 @@
   random: Random
 }
 
-interface Side {
+interface KnownSide {
   instance: Instance
   peer: SidePeer | undefined
   connecting: Promise<SidePeer | undefined> | undefined
   failures: number
-  /** No connection is tried before this time. */
-  notBefore: number
+  /** Backoff: no connection attempt before this time. */
+  retryAt: number
 }
 
-/** How many side processes may hold one adapter, by preference. */
-const preferenceLength = 4
-const cachedPreferences = 4096
+/** Number of side processes that requests for one adapter may be sent to, the most preferred ones. */
+const candidatesPerKey = 4
+const maxCachedLists = 4096
 
 const emptyOccupancy: Occupancy = { reportedRequests: 0, sentSinceReport: 0, capacity: 1 }
 
@@ -48,73 +48,73 @@
 }
 
 export class Sides {
-  readonly #sides = new Map<string, Side>()
+  readonly #known = new Map<string, KnownSide>()
   readonly #byServing = new Map<string, Array<HashedCandidate<Instance>>>()
-  readonly #preferences = new LRUCache<string, Instance[]>({ max: cachedPreferences })
+  readonly #candidateLists = new LRUCache<string, Instance[]>({ max: maxCachedLists })
 
   constructor (private readonly options: SidesOptions) {}
 
-  /** Takes the instance list as it was last read. */
+  /** Applies a new instance list. */
   update (instances: Instance[]): void {
     const sides = instances.filter(instance => instance.role === 'side' && instance.serving !== undefined)
     const present = new Set(sides.map(each => each.process as string))
-    for (const process of this.#sides.keys()) {
-      // Requests in progress there go on over their channel, which ends when it falls idle.
-      if (!present.has(process)) this.#sides.delete(process)
+    for (const process of this.#known.keys()) {
+      // Requests in progress there continue on their channel, which closes once it is idle.
+      if (!present.has(process)) this.#known.delete(process)
     }
-    for (const instance of sides) this.#put(instance)
-    this.#index()
+    for (const instance of sides) this.#upsert(instance)
+    this.#rebuildIndex()
   }
 
-  /** The next side process for `key`, passing over those already tried; connected, or `undefined`. */
+  /** Selects the side process for `key` among those not in `tried`, connected and not draining; `undefined` if there is none. */
   async choose (serving: Serving, key: string, tried: ReadonlySet<string>): Promise<ChosenSide | undefined> {
-    const list = this.#preferred(serving, key)
-    const passed = new Set(tried)
+    const list = this.#candidates(serving, key)
+    const excluded = new Set(tried)
     while (true) {
-      const open = list.filter(({ process }) => !passed.has(process) && this.#mayTake(process))
-      const instance = open[selectBoundedLoad(open.map(each => this.#sides.get(each.process)?.peer?.occupancy ?? emptyOccupancy))]
+      const available = list.filter(({ process }) => !excluded.has(process) && this.#isAvailable(process))
+      const instance = available[selectBoundedLoad(available.map(each => this.#known.get(each.process)?.peer?.occupancy ?? emptyOccupancy))]
       if (instance === undefined) return undefined
       const peer = await this.connect(instance.process)
       if (peer !== undefined && !peer.leaving) return { process: instance.process, address: instance.address, peer }
-      passed.add(instance.process)
+      excluded.add(instance.process)
     }
   }
 
-  /** The address of a process in the instance list. */
+  /** The address of a process by the instance list. */
   addressOf (process: ProcessId): Address | undefined {
-    return this.#sides.get(process)?.instance.address
+    return this.#known.get(process)?.instance.address
   }
 
-  /** A channel to one process, at once where one is open. */
+  /** Connects to a process, or reuses its open connection; `undefined` during backoff or if it is not in the instance list. */
   async connect (process: ProcessId): Promise<SidePeer | undefined> {
-    const side = this.#sides.get(process)
+    const side = this.#known.get(process)
     if (side === undefined) return undefined
     if (side.peer?.open === true) return side.peer
-    if (Date.now() < side.notBefore) return undefined
+    if (Date.now() < side.retryAt) return undefined
     side.connecting ??= this.#connect(side).finally(() => { side.connecting = undefined })
     return await side.connecting
   }
 
-  /** A channel to an address that may not be in the list any more, or not yet. */
+  /** Connects to a process at an address that may not be in the instance list any more, or not yet. */
   async reach (process: ProcessId, address: Address): Promise<SidePeer | undefined> {
-    const side = this.#sides.get(process)
+    const side = this.#known.get(process)
     if (side?.peer?.open === true && side.instance.address === address) return side.peer
     const { dial, channel, catalog, log } = this.options
     return await SidePeer.connect(dial, address, channel, catalog, log)
   }
 
-  /** Open channels, for telling all peers something. */
+  /** All open connections. */
   get peers (): SidePeer[] {
-    return [...this.#sides.values()].flatMap(({ peer }) => peer?.open === true ? [peer] : [])
+    return [...this.#known.values()].flatMap(({ peer }) => peer?.open === true ? [peer] : [])
   }
 
   announce (frame: FrameOf<'heartbeat'>): void {
     for (const peer of this.peers) peer.heartbeat(frame)
   }
 
-  /** What a process last said of itself; empty without a channel to it. */
+  /** The last status that a process reported; empty without an open connection to it. */
   stateOf (process: ProcessId): SideState {
-    const peer = this.#sides.get(process)?.peer
+    const peer = this.#known.get(process)?.peer
     if (peer?.open !== true) return {}
     const { load, revision } = peer
     return load === undefined ? { revision } : { revision, leaving: load.leaving, waiting: load.waiting, running: load.running }
@@ -124,20 +124,20 @@
     for (const peer of this.peers) peer.close()
   }
 
-  #put (instance: Instance): void {
-    const known = this.#sides.get(instance.process)
-    if (known !== undefined && known.instance.address === instance.address) {
-      known.instance = instance
+  #upsert (instance: Instance): void {
+    const existing = this.#known.get(instance.process)
+    if (existing !== undefined && existing.instance.address === instance.address) {
+      existing.instance = instance
       return
     }
-    this.#sides.set(instance.process, { instance, peer: undefined, connecting: undefined, failures: 0, notBefore: 0 })
+    this.#known.set(instance.process, { instance, peer: undefined, connecting: undefined, failures: 0, retryAt: 0 })
   }
 
-  #index (): void {
+  #rebuildIndex (): void {
     const groups = new Map<string, Instance[]>()
     this.#byServing.clear()
-    this.#preferences.clear()
-    for (const { instance } of this.#sides.values()) {
+    this.#candidateLists.clear()
+    for (const { instance } of this.#known.values()) {
       if (instance.serving === undefined || instance.leaving) continue
       const name = servingName(instance.serving)
       groups.set(name, [...groups.get(name) ?? [], instance])
@@ -145,26 +145,26 @@
     for (const [name, instances] of groups) this.#byServing.set(name, hashCandidates(instances))
   }
 
-  #preferred (serving: Serving, key: string): Instance[] {
-    const cached = this.#preferences.get(key)
+  #candidates (serving: Serving, key: string): Instance[] {
+    const cached = this.#candidateLists.get(key)
     if (cached !== undefined) return cached
-    const list = rankHashedCandidates(key, this.#byServing.get(servingName(serving)) ?? [], preferenceLength)
-    this.#preferences.set(key, list)
+    const list = rankHashedCandidates(key, this.#byServing.get(servingName(serving)) ?? [], candidatesPerKey)
+    this.#candidateLists.set(key, list)
     return list
   }
 
-  #mayTake (process: string): boolean {
-    const side = this.#sides.get(process)
+  #isAvailable (process: string): boolean {
+    const side = this.#known.get(process)
     if (side === undefined) return false
     if (side.peer?.open === true) return !side.peer.leaving
-    return Date.now() >= side.notBefore
+    return Date.now() >= side.retryAt
   }
 
-  async #connect (side: Side): Promise<SidePeer | undefined> {
+  async #connect (side: KnownSide): Promise<SidePeer | undefined> {
     const { dial, channel, catalog, log, random } = this.options
     side.peer = await SidePeer.connect(dial, side.instance.address, channel, catalog, log)
     side.failures = side.peer === undefined ? side.failures + 1 : 0
-    side.notBefore = side.peer === undefined ? Date.now() + backoff(side.failures, random) : 0
+    side.retryAt = side.peer === undefined ? Date.now() + backoff(side.failures, random) : 0
     return side.peer
   }
 }
--- a/packages/daemon/src/entry/ticket.ts
+++ b/packages/daemon/src/entry/ticket.ts
@@ -1,8 +1,9 @@
 /**
- * Tickets: keys that name the one incarnation which may run them, so that no store is needed.
+ * Tickets: idempotency keys that name the one incarnation of a side process that may run them.
  *
- * A caller takes a ticket, then asks with it as its key. Nobody else can be bound to a ticket, so at most once
- * holds however the store fares. The price is a call more, and that the ticket is lost with its incarnation.
+ * A caller requests a ticket, then sends its request with the ticket as idempotency key. Since the ticket itself is the binding, the
+ * request runs at most once even while the store is down. The cost is an additional call, and a ticket becomes useless when its
+ * incarnation ends.
  */
 import { Binding, Incarnation, ProcessId, RequestKey, randomToken } from '@finchpitch/core'
 import * as z from 'zod'
@@ -30,7 +31,7 @@
 
 export const isTicket = (key: RequestKey): boolean => key.startsWith(prefix + separator)
 
-/** `undefined` for a key that looks like a ticket and isn't one. */
+/** `undefined` for a key that has the prefix of a ticket but is not a valid one. */
 export const readTicket = (key: RequestKey): Ticket | undefined => {
   const parsed = TicketParts.safeParse(key.split(separator))
   if (!parsed.success) return undefined
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry instance and the side process, for the commands, the fault matrix and the measurements. */
+/** The entry instance and the side process, as used by the commands, the fault matrix and the benchmarks. */
 export * from './entry/entry.js'
 export * from './entry/dispatch.js'
 export * from './entry/sides.js'
--- a/packages/daemon/src/instance-view.ts
+++ b/packages/daemon/src/instance-view.ts
@@ -1,16 +1,16 @@
 /**
- * The instance list as one process last read it, read again every few seconds at spread times.
+ * Polls the instance list every few seconds, with jitter.
  */
 import { pause, type Log, type Random } from '@finchpitch/core'
 import type { Instance, InstanceList } from '@finchpitch/store'
 
-const readMs = 2000
+const pollIntervalMs = 2000
 
 export interface InstanceViewOptions {
   list: InstanceList
   log: Log
   random: Random
-  /** Told of each reading. */
+  /** Called with the list after each successful read. */
   update: (instances: Instance[]) => void
   signal: AbortSignal
 }
@@ -21,11 +21,11 @@
   else log.warn('instances.unread', { fault: instances.error.code, detail: instances.error.detail })
 }
 
-/** Keeps reading until `signal` aborts; a list that can't be read leaves the last one in place. */
+/** Polls until `signal` aborts. While the list can't be read, the last one stays in use. */
 export const watchInstances = async (options: InstanceViewOptions): Promise<void> => {
   const { random, signal } = options
   while (!signal.aborted) {
     await readInstances(options)
-    await pause(readMs * (0.75 + random() / 2), signal)
+    await pause(pollIntervalMs * (0.75 + random() / 2), signal)
   }
 }
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -1,5 +1,6 @@
 /**
- * Metrics of one process. Labels are closed sets; no team, adapter or request is one.
+ * Prometheus metrics of one process. Labels have a fixed set of values: teams, adapters and requests are never labels, as they
+ * would make the number of time series unbounded.
  */
 import type { RequestEnd } from '@finchpitch/callers'
 import type { WorkClass } from '@finchpitch/core'
@@ -7,7 +8,7 @@
 
 const secondsBuckets = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60]
 
-/** Each sample wakes the process, so an idle one is left to sleep. */
+/** Sampling interval of the event loop delay. Each sample wakes the process, so a short interval would keep an idle one busy. */
 const eventLoopPrecisionMs = 200
 
 export class Metrics {
@@ -21,7 +22,7 @@
 
   readonly #duration = new Histogram({
     name: 'finchpitch_request_seconds',
-    help: 'From a request\'s arrival to its last byte, by class and outcome.',
+    help: 'Time from the arrival of a request to the last byte of its response, by class and outcome.',
     labelNames: ['class', 'outcome'],
     buckets: secondsBuckets,
     registers: [this.registry]
@@ -31,7 +32,7 @@
     collectDefaultMetrics({ register: this.registry, eventLoopMonitoringPrecision: eventLoopPrecisionMs })
   }
 
-  /** A figure that is read when metrics are. */
+  /** Registers a gauge whose value is read at each scrape. */
   gauge (name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({ name, help, registers: [this.registry], collect: () => gauge.set(read()) })
   }
--- a/packages/daemon/src/operations.ts
+++ b/packages/daemon/src/operations.ts
@@ -1,5 +1,5 @@
 /**
- * What operators can do at an entry.
+ * Implements the operators' API at an entry: apply and read the configuration, and read the status of all processes.
  */
 import { check, servingName, type ProcessId, type Random } from '@finchpitch/core'
 import { apply, describeFault, type ApplyOutcome, type Catalog, type ObjectStore, type StoreFault } from '@finchpitch/store'
@@ -46,8 +46,8 @@
   status (): StatusReply {
     const { process, catalog, entry } = this.options
     const processes = entry.instances.map(({ process: name, role, domain, leaving, serving }): ProcessStatus => {
-      const own = name === process ? { revision: catalog.revision } : entry.sides.stateOf(name)
-      return { process: name, role, domain, leaving, ...(serving === undefined ? {} : { serving: servingName(serving) }), ...own }
+      const reported = name === process ? { revision: catalog.revision } : entry.sides.stateOf(name)
+      return { process: name, role, domain, leaving, ...(serving === undefined ? {} : { serving: servingName(serving) }), ...reported }
     })
     return { revision: catalog.revision, processes }
   }
--- a/packages/daemon/src/side/exchange.ts
+++ b/packages/daemon/src/side/exchange.ts
@@ -1,12 +1,12 @@
 /**
- * An exchange: one answer on its way back over a channel, no faster than its reader gives credit.
+ * Sends one response over a channel, with credit-based flow control: no faster than the receiver reads it.
  */
 import { AnswerFailure, unknown, type Answer, type Failure } from '@finchpitch/core'
 import { Window, type Channel, type Load } from '@finchpitch/wire'
 import type { Result } from 'neverthrow'
 
-/** Larger pieces are split, so that no frame comes near the frame limit. */
-const chunkBytes = 64 * 1024
+/** Larger parts of a body are split, to keep every frame far below the frame limit. */
+const maxChunkBytes = 64 * 1024
 
 export interface ExchangeOptions {
   id: number
@@ -24,25 +24,25 @@
     return this.#abort.signal
   }
 
-  /** The reader is gone: nothing more is sent. */
+  /** The receiver has abandoned the request: aborts it and sends nothing more. */
   cancel (): void {
     this.#abort.abort()
     this.window.close()
   }
 
   async send (answer: Result<Answer, Failure>, resident: boolean): Promise<void> {
-    if (answer.isErr()) return this.#fail(answer.error)
+    if (answer.isErr()) return this.#sendFailure(answer.error)
     const { id, channel } = this.options
     const { status, headers, body } = answer.value
     channel.send({ type: 'head', id, status, headers, resident })
     try {
       await this.#sendBody(body)
     } catch (error) {
-      this.#fail(error instanceof AnswerFailure ? error.failure : unknown('internal', { detail: (error as Error).message }))
+      this.#sendFailure(error instanceof AnswerFailure ? error.failure : unknown('internal', { detail: (error as Error).message }))
     }
   }
 
-  #fail (failure: Failure): void {
+  #sendFailure (failure: Failure): void {
     const { id, channel, load } = this.options
     channel.send({ type: 'failure', id, failure, load: load() })
   }
@@ -51,9 +51,9 @@
     const { id, channel, load } = this.options
     let chunks = 0
     let bytes = 0
-    for await (const piece of body) {
-      for (let at = 0; at < piece.length; at += chunkBytes) {
-        const data = piece.subarray(at, at + chunkBytes)
+    for await (const part of body) {
+      for (let offset = 0; offset < part.length; offset += maxChunkBytes) {
+        const data = part.subarray(offset, offset + maxChunkBytes)
         if (!await this.window.take(data.length) || !channel.open) return
         channel.send({ type: 'chunk', id, sequence: chunks, data })
         chunks += 1
--- a/packages/daemon/src/side/executions.ts
+++ b/packages/daemon/src/side/executions.ts
@@ -1,13 +1,13 @@
 /**
- * Executions: what this incarnation has done with each request key. The last guard of "at most once".
+ * Deduplicates requests with an idempotency key: the final guarantee that a request runs at most once.
  *
- * Each binding of a key, known by its nonce, gets one record, made before anything is sent. A later try of it joins
- * the run, gets the kept answer, or hears what is known. A refusal is a record too: that binding never runs, so the
- * key may be bound anew, here or elsewhere.
+ * Each binding of a key, identified by its nonce, has one record, created before anything is sent to the backend server. A retry
+ * joins the run in progress, gets the kept response, or gets an error that says what is known. A refusal is recorded too: that
+ * binding never runs, so the key may be bound again, here or at another process.
  *
- * Memory is bounded by epochs: keys of the current and the last epoch are remembered, bindings made in older ones
- * are refused as `unknown`. Epochs are counted by this process alone, so no clocks are compared, and a pause of
- * any length only makes an epoch longer.
+ * Memory is bounded by epochs: keys of the current and the previous epoch are remembered, and bindings made in earlier ones are
+ * refused as `unknown`. Only this process counts its epochs, so no clocks are compared, and a pause of the process, however long,
+ * only makes an epoch longer.
  */
 import { createHash } from 'node:crypto'
 import { notRun, unknown, type Answer, type Failure, type Incarnation, type Work } from '@finchpitch/core'
@@ -16,11 +16,11 @@
 
 export interface ExecutionsOptions {
   incarnation: Incarnation
-  /** Keys remembered in one epoch; more are refused as not run. */
+  /** Keys remembered in one epoch. Requests with further keys are not run, and fail as `unknown` with `keys_full`. */
   maxKeys: number
-  /** An answer longer than this is passed on and not kept. */
+  /** A longer response is streamed to the first caller only and not kept. */
   maxAnswerBytes: number
-  /** Bytes of kept answers in all; the oldest are let go first. */
+  /** Total bytes of all kept responses; the oldest are discarded first. */
   maxKeptBytes: number
 }
 
@@ -32,10 +32,10 @@
 
 type Once = NonNullable<Work['once']>
 
-/** Runs the work for good; an `Err` is a refusal before anything was sent, or the end of an unknown outcome. */
+/** Runs the request. An error is either a refusal, which proves that it has not run, or a failure with an unknown outcome. */
 export type Start = () => Promise<Result<Answer, Failure>>
 
-interface Record {
+interface ExecutionRecord {
   fingerprint: string
   answer: Promise<Result<KeptAnswer, Failure>>
   kept: KeptAnswer | undefined
@@ -46,9 +46,9 @@
 
 export class Executions {
   #epoch = 0
-  #current = new Map<string, Record>()
-  #last = new Map<string, Record>()
-  readonly #kept = new Set<KeptAnswer>()
+  #current = new Map<string, ExecutionRecord>()
+  #previous = new Map<string, ExecutionRecord>()
+  readonly #keptAnswers = new Set<KeptAnswer>()
   #keptBytes = 0
 
   constructor (private readonly options: ExecutionsOptions) {}
@@ -57,60 +57,60 @@
     return this.#epoch
   }
 
-  /** Begins the next epoch; the keys of the one before the last are forgotten. */
+  /** Begins the next epoch. Keys of the current one stay; those of the previous one are forgotten. */
   advance (): void {
     this.#epoch += 1
-    for (const { kept } of this.#last.values()) this.#forget(kept)
-    this.#last = this.#current
+    for (const { kept } of this.#previous.values()) this.#discard(kept)
+    this.#previous = this.#current
     this.#current = new Map()
   }
 
   get size (): number {
-    return this.#current.size + this.#last.size
+    return this.#current.size + this.#previous.size
   }
 
   get keptBytes (): number {
     return this.#keptBytes
   }
 
-  /** Runs `start` for the binding's first try; every other try gets what became of that one. */
+  /** Runs `start` for the first attempt with a binding; every other attempt gets the result of that run. */
   async run (work: Work, once: Once, start: Start): Promise<Result<Answer, Failure>> {
-    const refusal = this.#judge(once)
+    const refusal = this.#checkBinding(once)
     if (refusal !== undefined) return err(refusal)
     const id = `${work.team} ${once.binding.nonce}`
-    const earlier = this.#current.get(id) ?? this.#last.get(id)
+    const existing = this.#current.get(id) ?? this.#previous.get(id)
     const fingerprint = fingerprintOf(work)
-    if (earlier !== undefined && earlier.fingerprint !== fingerprint) return err(notRun('key_reused'))
-    if (earlier === undefined && this.#current.size >= this.options.maxKeys) {
-      // Nothing is recorded for the binding, so it could still run: the refusal holds for this try only.
+    if (existing !== undefined && existing.fingerprint !== fingerprint) return err(notRun('key_reused'))
+    if (existing === undefined && this.#current.size >= this.options.maxKeys) {
+      // Without a record, a later attempt with this binding could still run, so `not_run` would be a false promise.
       return err(unknown('keys_full', { retryAfterMs: 1000, detail: 'Ask again with the same key.' }))
     }
-    const record = earlier ?? this.#begin(id, fingerprint, start)
+    const record = existing ?? this.#createRecord(id, fingerprint, start)
     const answer = await record.answer
     if (answer.isErr()) return err(answer.error)
-    const body = answer.value.read(earlier === undefined)
+    const body = answer.value.read(existing === undefined)
     return body === undefined ? err(unknown('answer_expired')) : ok({ ...answer.value.head, body })
   }
 
-  #judge ({ binding }: Once): Failure | undefined {
+  #checkBinding ({ binding }: Once): Failure | undefined {
     if (binding.incarnation !== this.options.incarnation) return unknown('incarnation_gone')
     if (binding.epoch < this.#epoch - 1) return unknown('answer_expired')
     if (binding.epoch > this.#epoch) return unknown('internal', { detail: 'The binding is from an epoch to come.' })
     return undefined
   }
 
-  #begin (id: string, fingerprint: string, start: Start): Record {
-    const answer = this.#run(start)
-    const record: Record = { fingerprint, answer, kept: undefined }
+  #createRecord (id: string, fingerprint: string, start: Start): ExecutionRecord {
+    const answer = this.#execute(start)
+    const record: ExecutionRecord = { fingerprint, answer, kept: undefined }
     void answer.then(result => { record.kept = result.unwrapOr(undefined) })
     this.#current.set(id, record)
     return record
   }
 
-  async #run (start: Start): Promise<Result<KeptAnswer, Failure>> {
+  async #execute (start: Start): Promise<Result<KeptAnswer, Failure>> {
     try {
-      const started = await start()
-      return started.map(answer => this.#keep(answer))
+      const result = await start()
+      return result.map(answer => this.#keep(answer))
     } catch (error) {
       return err(unknown('internal', { detail: (error as Error).message }))
     }
@@ -118,21 +118,21 @@
 
   #keep (answer: Answer): KeptAnswer {
     const kept = new KeptAnswer(answer, this.options.maxAnswerBytes, bytes => this.#charge(bytes))
-    this.#kept.add(kept)
+    this.#keptAnswers.add(kept)
     return kept
   }
 
   #charge (bytes: number): void {
     this.#keptBytes += bytes
-    for (const kept of this.#kept) {
+    for (const kept of this.#keptAnswers) {
       if (this.#keptBytes <= this.options.maxKeptBytes) return
-      this.#forget(kept)
+      this.#discard(kept)
     }
   }
 
-  /** Lets an answer's bytes go, once it has come to its end. */
-  #forget (kept: KeptAnswer | undefined): void {
-    if (kept?.finished !== true || !this.#kept.delete(kept)) return
+  /** Discards the bytes of a response that is complete; one still being read stays. */
+  #discard (kept: KeptAnswer | undefined): void {
+    if (kept?.finished !== true || !this.#keptAnswers.delete(kept)) return
     this.#keptBytes -= kept.drop()
   }
 }
--- a/packages/daemon/src/side/gate.ts
+++ b/packages/daemon/src/side/gate.ts
@@ -1,7 +1,7 @@
 /**
- * The gate: how many requests the backend server runs at once, and in what order the rest follow.
+ * Admission queue in front of a backend server: limits how many requests run at once and orders the queued ones.
  *
- * Whatever can't be served within its caller's patience is refused at once, so that the caller can go elsewhere.
+ * A request that can't be served within its caller's time-out is refused at once, so that it can be sent to another process.
  */
 import { notRun, type Failure, type Work } from '@finchpitch/core'
 import { MovingAverage, TeamUsage, precedes, type QueuedRequest } from '@finchpitch/decisions'
@@ -10,24 +10,24 @@
 export interface GateOptions {
   capacity: number
   maxWaiting: number
-  /** A team's weight in the configuration. */
+  /** The weight of a team by the configuration. */
   weightOf: (team: string) => number
 }
 
 export const defaultMaxWaiting = 1000
-const firstServiceMs = 200
+const initialServiceMs = 200
 
 export type Release = () => void
 
-interface Ticket extends QueuedRequest {
+interface Waiter extends QueuedRequest {
   admit: () => void
 }
 
 export class Gate {
   #running = 0
-  readonly #waiting: Ticket[] = []
-  readonly #shares = new TeamUsage()
-  readonly #service = new MovingAverage(firstServiceMs)
+  readonly #queue: Waiter[] = []
+  readonly #usage = new TeamUsage()
+  readonly #serviceMs = new MovingAverage(initialServiceMs)
 
   constructor (private readonly options: GateOptions) {}
 
@@ -36,7 +36,7 @@
   }
 
   get waiting (): number {
-    return this.#waiting.length
+    return this.#queue.length
   }
 
   get capacity (): number {
@@ -45,46 +45,47 @@
 
   set capacity (capacity: number) {
     this.options.capacity = capacity
-    this.#pump()
+    this.#admitQueued()
   }
 
-  /** How long a request that comes now would wait, in milliseconds. */
+  /** How long a request that arrives now is expected to queue, in milliseconds. */
   get expectedWaitMs (): number {
-    const ahead = this.#running + this.#waiting.length + 1 - this.options.capacity
-    return Math.max(0, ahead) * this.#service.value / this.options.capacity
+    const excess = this.#running + this.#queue.length + 1 - this.options.capacity
+    return Math.max(0, excess) * this.#serviceMs.value / this.options.capacity
   }
 
-  /** Why a request can't be taken now, if it can't; asked before anything is done for it. */
+  /** The failure of a request that has to be refused now, if any; checked before anything else is done for it. */
   refusal (work: Work): Failure | undefined {
     const waitMs = this.expectedWaitMs
-    if (waitMs <= work.patienceMs && this.#waiting.length < this.options.maxWaiting) return undefined
+    if (waitMs <= work.patienceMs && this.#queue.length < this.options.maxWaiting) return undefined
     return notRun('overloaded', { retryAfterMs: Math.max(100, waitMs - work.patienceMs) })
   }
 
+  /** Queues a request until it may run. The returned function has to be called when it ends; further calls do nothing. */
   async enter (work: Work, deadline: number, signal: AbortSignal): Promise<Result<Release, Failure>> {
     if (signal.aborted) return err(notRun('cancelled'))
-    const since = Date.now()
+    const enqueuedAt = Date.now()
     const admitted = await new Promise<boolean>(resolve => {
-      const timer = setTimeout(() => this.#leave(ticket, resolve), Math.max(0, deadline - since))
-      const onAbort = (): void => this.#leave(ticket, resolve)
+      const timer = setTimeout(() => this.#abandon(waiter, resolve), Math.max(0, deadline - enqueuedAt))
+      const onAbort = (): void => this.#abandon(waiter, resolve)
       const admit = (): void => {
         clearTimeout(timer)
         signal.removeEventListener('abort', onAbort)
         resolve(true)
       }
-      const ticket: Ticket = { team: work.team, class: work.class, enqueuedAt: since, deadline, admit }
+      const waiter: Waiter = { team: work.team, class: work.class, enqueuedAt, deadline, admit }
       signal.addEventListener('abort', onAbort)
-      this.#waiting.push(ticket)
-      this.#shares.addTeam(work.team)
-      this.#pump()
+      this.#queue.push(waiter)
+      this.#usage.addTeam(work.team)
+      this.#admitQueued()
     })
     if (!admitted) return err(signal.aborted ? notRun('cancelled') : notRun('overloaded', { retryAfterMs: this.expectedWaitMs }))
     return ok(this.#releaseOnce())
   }
 
-  #leave (ticket: Ticket, resolve: (admitted: boolean) => void): void {
-    const at = this.#waiting.indexOf(ticket)
-    if (at >= 0) this.#waiting.splice(at, 1)
+  #abandon (waiter: Waiter, resolve: (admitted: boolean) => void): void {
+    const index = this.#queue.indexOf(waiter)
+    if (index >= 0) this.#queue.splice(index, 1)
     resolve(false)
   }
 
@@ -95,19 +96,19 @@
       if (released) return
       released = true
       this.#running -= 1
-      this.#service.add(Date.now() - startedAt)
-      this.#pump()
+      this.#serviceMs.add(Date.now() - startedAt)
+      this.#admitQueued()
     }
   }
 
-  #pump (): void {
-    while (this.#running < this.options.capacity && this.#waiting.length > 0) {
+  #admitQueued (): void {
+    while (this.#running < this.options.capacity && this.#queue.length > 0) {
       const now = Date.now()
-      const next = this.#waiting.reduce((best, ticket) => precedes(ticket, best, this.#shares, now) ? ticket : best)
-      this.#waiting.splice(this.#waiting.indexOf(next), 1)
+      const next = this.#queue.reduce((best, waiter) => precedes(waiter, best, this.#usage, now) ? waiter : best)
+      this.#queue.splice(this.#queue.indexOf(next), 1)
       this.#running += 1
-      this.#shares.charge(next.team, this.options.weightOf(next.team))
-      if (this.#waiting.length === 0) this.#shares.retainTeams(new Set())
+      this.#usage.charge(next.team, this.options.weightOf(next.team))
+      if (this.#queue.length === 0) this.#usage.retainTeams(new Set())
       next.admit()
     }
   }
--- a/packages/daemon/src/side/kept-answer.ts
+++ b/packages/daemon/src/side/kept-answer.ts
@@ -1,6 +1,9 @@
 /**
- * A kept answer: read once from the backend server, whether or not a caller still waits, and by any number of
- * callers as it comes. Past the size limit only the first reader follows, and at its own pace.
+ * A response kept for retries. It is read from the backend server once and to its end, even if no caller waits any more, and any
+ * number of callers can stream it meanwhile or later.
+ *
+ * Beyond the size limit it is no longer kept: only the first reader, the owner, gets it whole, and the backend server is read no
+ * faster than the owner reads.
  */
 import { AnswerFailure, unknown, type Answer, type AnswerHead, type Failure } from '@finchpitch/core'
 
@@ -8,30 +11,30 @@
   readonly head: AnswerHead
   #chunks: Uint8Array[] = []
   #bytes = 0
-  #first = 0
+  #firstIndex = 0
   #finished = false
   #dropped = false
   #failure: Failure | undefined
-  #ownerAt = 0
+  #ownerIndex = 0
   #ownerReads = false
-  readonly #waiting = new Set<() => void>()
+  readonly #waiters = new Set<() => void>()
 
   constructor (answer: Answer, private readonly limit: number, private readonly charge: (bytes: number) => void) {
     this.head = { status: answer.status, headers: answer.headers }
-    void this.#fill(answer.body)
+    void this.#readAll(answer.body)
   }
 
   get finished (): boolean {
     return this.#finished
   }
 
-  /** The body from its start; `undefined` where that is no longer kept. */
+  /** Streams the body from its start; `undefined` if the start is no longer kept. `owner` marks the first reader. */
   read (owner: boolean): AsyncGenerator<Uint8Array> | undefined {
-    if (this.#dropped || this.#first > 0) return undefined
-    return this.#read(owner)
+    if (this.#dropped || this.#firstIndex > 0) return undefined
+    return this.#stream(owner)
   }
 
-  /** Lets the chunks go; gives how many bytes that frees. */
+  /** Discards the chunks and returns how many bytes that frees. */
   drop (): number {
     this.#dropped = true
     this.#chunks = []
@@ -40,14 +43,14 @@
     return freed
   }
 
-  async #fill (body: AsyncIterable<Uint8Array>): Promise<void> {
+  async #readAll (body: AsyncIterable<Uint8Array>): Promise<void> {
     try {
       for await (const chunk of body) {
         this.#chunks.push(chunk)
         this.#bytes += chunk.length
         this.charge(chunk.length)
         this.#notify()
-        while (this.#bytes > this.limit) await this.#letGo()
+        while (this.#bytes > this.limit) await this.#dropRead()
       }
     } catch (error) {
       this.#failure = error instanceof AnswerFailure ? error.failure : unknown('answer_cut', { detail: (error as Error).message })
@@ -56,33 +59,33 @@
     this.#notify()
   }
 
-  /** Drops what the first reader has taken, waiting for it; with no such reader the rest is read and dropped. */
-  async #letGo (): Promise<void> {
-    while (this.#ownerReads && this.#ownerAt <= this.#first) await this.#changed()
-    const taken = this.#ownerReads ? this.#ownerAt - this.#first : this.#chunks.length
-    const freed = this.#chunks.splice(0, taken).reduce((sum, chunk) => sum + chunk.length, 0)
-    this.#first += taken
+  /** Drops the chunks that the owner has read, after waiting for it to read some. Without an owner, drops all chunks. */
+  async #dropRead (): Promise<void> {
+    while (this.#ownerReads && this.#ownerIndex <= this.#firstIndex) await this.#nextChange()
+    const count = this.#ownerReads ? this.#ownerIndex - this.#firstIndex : this.#chunks.length
+    const freed = this.#chunks.splice(0, count).reduce((sum, chunk) => sum + chunk.length, 0)
+    this.#firstIndex += count
     this.#bytes -= freed
     this.charge(-freed)
   }
 
-  async * #read (owner: boolean): AsyncGenerator<Uint8Array> {
+  async * #stream (owner: boolean): AsyncGenerator<Uint8Array> {
     if (owner) this.#ownerReads = true
     try {
-      for (let at = 0; ;) {
-        if (at < this.#first || this.#dropped) throw new AnswerFailure(unknown('answer_expired'))
-        const chunk = this.#chunks[at - this.#first]
+      for (let index = 0; ;) {
+        if (index < this.#firstIndex || this.#dropped) throw new AnswerFailure(unknown('answer_expired'))
+        const chunk = this.#chunks[index - this.#firstIndex]
         if (chunk !== undefined) {
-          at += 1
+          index += 1
           yield chunk
-          if (owner) this.#ownerAt = at
+          if (owner) this.#ownerIndex = index
           if (owner) this.#notify()
         } else if (this.#failure !== undefined) {
           throw new AnswerFailure(this.#failure)
         } else if (this.#finished) {
           return
         } else {
-          await this.#changed()
+          await this.#nextChange()
         }
       }
     } finally {
@@ -91,13 +94,13 @@
     }
   }
 
-  #changed (): Promise<void> {
-    return new Promise(resolve => this.#waiting.add(resolve))
+  #nextChange (): Promise<void> {
+    return new Promise(resolve => this.#waiters.add(resolve))
   }
 
   #notify (): void {
-    const waiting = [...this.#waiting]
-    this.#waiting.clear()
-    for (const wake of waiting) wake()
+    const waiters = [...this.#waiters]
+    this.#waiters.clear()
+    for (const wake of waiters) wake()
   }
 }
--- a/packages/daemon/src/side/runner.ts
+++ b/packages/daemon/src/side/runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runners: how work is run at what this side process serves; one handler for each kind of backend server.
+ * Runners send requests to the backend server of a side process; there is one class for each kind of backend server.
  *
- * `start` gives an `Err` with `not_run` only while nothing has been sent, and `unknown` from then on.
+ * `start` fails with the outcome `not_run` only where it is proved that the backend server hasn't run the request, else `unknown`.
  */
 import { adapterLabel, backoff, notRun, pause, unknown, type AdapterTarget, type Answer, type AnswerBody, type Failure, type Log, type ModelName, type Random, type Work } from '@finchpitch/core'
 import { PrefixCache, type BackendFault, type Engine, type EngineReport, type PlainService } from '@finchpitch/backend'
@@ -12,27 +12,27 @@
 
 export interface Runner {
   readonly gate: Gate
-  /** Why work can't be taken now; asked before anything is recorded or sent. */
+  /** The failure of a request that has to be refused now, if any; checked before anything is recorded or sent. */
   refusal: (work: Work) => Failure | undefined
   start: (work: Work, signal: AbortSignal) => Promise<Result<Answer, Failure>>
-  /** Whether the work's target could start without a load. */
+  /** Whether the request could start without loading an adapter first. */
   resident: (work: Work) => boolean
-  /** Runs until `signal` aborts. */
+  /** Runs the background tasks until `signal` aborts. */
   watch: (signal: AbortSignal) => Promise<void>
 }
 
-/** Calls `done` once: with `true` when the body was read to its end, `false` when it failed or was given up. */
-async function * releasing (body: AnswerBody, done: (whole: boolean) => void): AsyncGenerator<Uint8Array> {
-  let whole = false
+/** Calls `done` once: with `true` when the body was read to its end, with `false` when it failed or was abandoned. */
+async function * withCompletion (body: AnswerBody, done: (complete: boolean) => void): AsyncGenerator<Uint8Array> {
+  let complete = false
   try {
     yield * body
-    whole = true
+    complete = true
   } finally {
-    done(whole)
+    done(complete)
   }
 }
 
-/** What a fault proves, in the caller's terms. */
+/** The failure reported to the caller for each fault. A fault that doesn't prove that the request hasn't run gives `unknown`. */
 const faultFailures: Record<BackendFault['code'], (detail: string) => Failure> = {
   unreachable: detail => notRun('backend_unreachable', { detail, retryAfterMs: 1000 }),
   lost: detail => unknown('connection_lost', { detail }),
@@ -75,7 +75,7 @@
       release.value()
       return err(failureOf(answer.error))
     }
-    return ok({ ...answer.value, body: releasing(answer.value.body, release.value) })
+    return ok({ ...answer.value, body: withCompletion(answer.value.body, release.value) })
   }
 
   watch (): Promise<void> {
@@ -93,12 +93,12 @@
   random: Random
 }
 
-const bootCheckMs = 1000
+const bootPollMs = 1000
 const maxPrefixBlocks = 100_000
-const priorities = { desk: 0, caller: 1, batch: 10 } as const
+const enginePriorities = { desk: 0, caller: 1, batch: 10 } as const
 
-const targetOf = (work: Work): AdapterTarget => {
-  if (work.target.kind !== 'adapter') throw new Error('an engine runs adapters only')
+const adapterTargetOf = (work: Work): AdapterTarget => {
+  if (work.target.kind !== 'adapter') throw new Error('engines serve adapters, not plain services')
   return work.target
 }
 
@@ -121,13 +121,13 @@
   }
 
   resident (work: Work): boolean {
-    return this.slots.holds(this.#label(targetOf(work)))
+    return this.slots.holds(this.#labelOf(adapterTargetOf(work)))
   }
 
   async start (work: Work, signal: AbortSignal): Promise<Result<Answer, Failure>> {
-    const target = targetOf(work)
+    const target = adapterTargetOf(work)
     const deadline = Date.now() + work.patienceMs
-    const label = this.#label(target)
+    const label = this.#labelOf(target)
     const pin = await this.slots.pin({ label, source: target.source, class: work.class, deadline }, signal)
     if (pin.isErr()) return err(pin.error)
     const release = await this.gate.enter(work, deadline, signal)
@@ -142,53 +142,53 @@
     const { engine, catalog, model } = this.options
     const mayClear = (): boolean => catalog.model(model)?.checksFences === true
     await Promise.all([
-      watchBoot(engine, bootCheckMs, signal, boot => this.#see(boot)),
+      watchBoot(engine, bootPollMs, signal, boot => this.#updateBoot(boot)),
       this.slots.clearLeftovers(mayClear, signal),
-      this.#followCache(signal)
+      this.#followCacheEvents(signal)
     ])
   }
 
-  async #followCache (signal: AbortSignal): Promise<void> {
+  async #followCacheEvents (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       for await (const event of this.options.engine.cacheEvents(signal)) this.prefixes.take(event)
-      await pause(bootCheckMs, signal)
+      await pause(bootPollMs, signal)
     }
   }
 
-  /** The fence in the name keeps this incarnation's slots apart from an earlier one's. */
-  #label (target: AdapterTarget): string {
+  /** The label under which the engine loads the adapter. The fencing token in it tells the slots of different incarnations apart. */
+  #labelOf (target: AdapterTarget): string {
     return `${adapterLabel(target)}#${this.options.fence}`
   }
 
-  async #generate (work: Work, pin: Pin, leave: Release, signal: AbortSignal): Promise<Result<Answer, Failure>> {
-    const done = (settled: boolean): void => {
-      leave()
-      if (settled) pin.release()
-      else void this.#releaseOnceEnded(work, pin)
+  async #generate (work: Work, pin: Pin, release: Release, signal: AbortSignal): Promise<Result<Answer, Failure>> {
+    const done = (ended: boolean): void => {
+      release()
+      if (ended) pin.release()
+      else void this.#cancelThenRelease(work, pin)
     }
     const { engine, fence } = this.options
-    const generation = { id: work.id, label: pin.label, call: work.call, priority: priorities[work.class], salt: work.team, fence, signal }
+    const generation = { id: work.id, label: pin.label, call: work.call, priority: enginePriorities[work.class], salt: work.team, fence, signal }
     const answer = await engine.generate(generation)
     if (answer.isErr()) {
       done(answer.error.code !== 'lost')
-      if (answer.error.boot !== undefined) this.#see(answer.error.boot)
+      if (answer.error.boot !== undefined) this.#updateBoot(answer.error.boot)
       return err(failureOf(answer.error))
     }
     if (answer.value.boot !== pin.boot) {
       done(true)
-      this.#see(answer.value.boot)
-      // It may have run, and on something else than the adapter: not one byte of it is believed.
+      this.#updateBoot(answer.value.boot)
+      // The restarted engine may have run the request on something other than the adapter, so its response is discarded.
       void answer.value.body[Symbol.asyncIterator]().return?.()
       return err(unknown('engine_restarted'))
     }
-    return ok({ status: answer.value.status, headers: answer.value.headers, body: releasing(answer.value.body, done) })
+    return ok({ status: answer.value.status, headers: answer.value.headers, body: withCompletion(answer.value.body, done) })
   }
 
   /**
-   * Without the answer's end the engine may still be running the request: its slot stays pinned until the engine
-   * has said that it no longer does, or has restarted.
+   * Without the end of the response, the engine may still be running the request: the slot stays pinned until the engine confirms
+   * the cancellation or has restarted.
    */
-  async #releaseOnceEnded ({ id }: Work, pin: Pin): Promise<void> {
+  async #cancelThenRelease ({ id }: Work, pin: Pin): Promise<void> {
     const { engine, fence, random } = this.options
     for (let failures = 1; pin.boot === this.#boot; failures++) {
       const cancelled = await engine.cancel({ id, fence })
@@ -198,7 +198,7 @@
     pin.release()
   }
 
-  #see (boot: string): void {
+  #updateBoot (boot: string): void {
     if (boot === this.#boot || boot === '') return
     this.#boot = boot
     this.slots.restarted(boot)
--- a/packages/daemon/src/side/side.ts
+++ b/packages/daemon/src/side/side.ts
@@ -1,8 +1,8 @@
 /**
- * The side process: the only way in to its backend server.
+ * The side process, a sidecar of one backend server and the only process that sends it requests.
  *
- * It admits, refuses, runs and remembers. One task reads each channel; each request runs in a task of its own and
- * outlives the channel where it may not be repeated.
+ * It queues or refuses requests, runs them, and deduplicates those with an idempotency key. One task reads each channel. Each
+ * request runs in a task of its own; one with an idempotency key is run to its end even if its channel ends.
  */
 import type { Duplex } from 'node:stream'
 import { notRun, pause, servingName, servingOf, type Address, type Answer, type Failure, type FailureDomain, type Incarnation, type Log, type ProcessId, type Serving, type Work } from '@finchpitch/core'
@@ -23,53 +23,54 @@
   runner: Runner
   catalog: Catalog
   log: Log
-  /** How long a key window lasts; kept answers live for one to two of these. */
+  /** Length of an epoch. Idempotency keys and their responses are kept for one to two epochs. */
   epochMs: number
 }
 
 export const defaultEpochMs = 10 * 60 * 1000
 
-const startedAtOnce = 10_000
+/** Requests in progress, queued ones included, beyond which further ones are refused. */
+const maxRunning = 10_000
 
 export class Side {
   readonly executions: Executions
   readonly #channels = new Set<Channel>()
-  readonly #running = new Set<Promise<void>>()
-  readonly #stop = new AbortController()
-  #leaving = false
+  readonly #tasks = new Set<Promise<void>>()
+  readonly #shutdown = new AbortController()
+  #draining = false
 
   constructor (private readonly options: SideOptions) {
     this.executions = new Executions({ incarnation: options.incarnation, ...defaultLimits })
   }
 
   get load (): Load {
-    const { gate } = this.options.runner
-    return { waiting: gate.waiting, running: gate.running, capacity: gate.capacity, epoch: this.executions.epoch, leaving: this.#leaving }
+    const { gate: requestQueue } = this.options.runner
+    return { waiting: requestQueue.waiting, running: requestQueue.running, capacity: requestQueue.capacity, epoch: this.executions.epoch, leaving: this.#draining }
   }
 
   get running (): number {
-    return this.#running.size
+    return this.#tasks.size
   }
 
-  /** Runs the side's own tasks until it is closed. */
+  /** Runs the background tasks until the side process is closed. */
   async run (): Promise<void> {
-    await Promise.all([this.#countEpochs(), this.options.runner.watch(this.#stop.signal)])
+    await Promise.all([this.#advanceEpochs(), this.options.runner.watch(this.#shutdown.signal)])
   }
 
-  /** Takes one connection and reads it to its end. */
+  /** Handles one connection until it ends. */
   async accept (stream: Duplex): Promise<void> {
     const { catalog, log } = this.options
     const channel = new Channel(stream, { hello: () => this.#hello(), heartbeat: () => this.#heartbeat() })
     const exchanges = new Map<number, Exchange>()
     const configuration = new CatalogExchange(catalog, channel)
-    let last = -1
+    let lastId = -1
     this.#channels.add(channel)
     void channel.greeted.then(greeted => { if (greeted) configuration.see(channel.peer.revision) })
     for await (const frame of channel.frames()) {
       if (frame.type === 'run') {
-        // A frame that came twice is one request.
-        if (frame.id > last) this.#begin(frame, channel, exchanges, configuration)
-        last = Math.max(last, frame.id)
+        // Ids increase, so a duplicated frame is recognized and starts nothing.
+        if (frame.id > lastId) this.#startRequest(frame, channel, exchanges, configuration)
+        lastId = Math.max(lastId, frame.id)
       }
       if (frame.type === 'cancel') exchanges.get(frame.id)?.cancel()
       else if (frame.type === 'credit') exchanges.get(frame.id)?.window.give(frame.bytes)
@@ -81,20 +82,20 @@
     log.debug('channel.ended', { ...await channel.ended })
   }
 
-  /** Refuses new work from now on and tells every peer. */
+  /** Starts draining: refuses new requests and notifies every peer. */
   leave (): void {
-    this.#leaving = true
+    this.#draining = true
     for (const channel of this.#channels) channel.send(this.#heartbeat())
   }
 
-  /** Resolves once nothing runs and every answer has left. */
+  /** Resolves once no request is running and all responses have been flushed. */
   async drained (): Promise<void> {
-    while (this.#running.size > 0) await Promise.race(this.#running)
+    while (this.#tasks.size > 0) await Promise.race(this.#tasks)
     await Promise.all([...this.#channels].map(channel => channel.flushed()))
   }
 
   close (): void {
-    this.#stop.abort()
+    this.#shutdown.abort()
     for (const channel of this.#channels) channel.close()
   }
 
@@ -107,21 +108,21 @@
     return { type: 'heartbeat', revision: this.options.catalog.revision, load: this.load }
   }
 
-  async #countEpochs (): Promise<void> {
-    while (!this.#stop.signal.aborted) {
-      await pause(this.options.epochMs, this.#stop.signal)
-      if (!this.#stop.signal.aborted) this.executions.advance()
+  async #advanceEpochs (): Promise<void> {
+    while (!this.#shutdown.signal.aborted) {
+      await pause(this.options.epochMs, this.#shutdown.signal)
+      if (!this.#shutdown.signal.aborted) this.executions.advance()
     }
   }
 
-  #begin ({ id, work }: FrameOf<'run'>, channel: Channel, exchanges: Map<number, Exchange>, configuration: CatalogExchange): void {
+  #startRequest ({ id, work }: FrameOf<'run'>, channel: Channel, exchanges: Map<number, Exchange>, configuration: CatalogExchange): void {
     const exchange = new Exchange({ id, channel, load: () => this.load })
     exchanges.set(id, exchange)
     const task = this.#serve(work, exchange, configuration).finally(() => {
       exchanges.delete(id)
-      this.#running.delete(task)
+      this.#tasks.delete(task)
     })
-    this.#running.add(task)
+    this.#tasks.add(task)
   }
 
   async #serve (work: Work, exchange: Exchange, configuration: CatalogExchange): Promise<void> {
@@ -134,8 +135,8 @@
   async #answer (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<Answer, Failure>> {
     const { once } = work
     if (once === undefined) return await this.#start(work, signal, configuration)
-    // A request that may not be repeated runs to its end, also when nobody waits for it any more.
-    return await this.executions.run(work, once, () => this.#start(work, this.#stop.signal, configuration))
+    // A request with an idempotency key runs to its end even if its caller has gone: a retry gets the response.
+    return await this.executions.run(work, once, () => this.#start(work, this.#shutdown.signal, configuration))
   }
 
   async #start (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<Answer, Failure>> {
@@ -146,13 +147,13 @@
 
   async #refusal (work: Work, configuration: CatalogExchange): Promise<Failure | undefined> {
     const { serving, runner, catalog } = this.options
-    if (this.#leaving) return notRun('leaving')
+    if (this.#draining) return notRun('leaving')
     if (servingName(servingOf(work.target)) !== servingName(serving)) return notRun('no_backend', { detail: `This process serves ${servingName(serving)}.` })
-    if (this.#running.size > startedAtOnce) return notRun('overloaded', { retryAfterMs: 1000 })
+    if (this.#tasks.size > maxRunning) return notRun('overloaded', { retryAfterMs: 1000 })
     if (work.revision < catalog.revision) return notRun('stale_revision', { revision: catalog.revision })
     if (work.revision > catalog.revision) await configuration.pull()
     if (work.revision > catalog.revision) return notRun('stale_revision', { revision: catalog.revision })
-    if (this.#leaving) return notRun('leaving')
+    if (this.#draining) return notRun('leaving')
     return runner.refusal(work)
   }
 }
--- a/packages/daemon/src/side/slots.ts
+++ b/packages/daemon/src/side/slots.ts
@@ -1,9 +1,9 @@
 /**
- * Slots: which adapter versions the engine holds, who uses them, and what is loaded next.
+ * Manages the adapter slots of an engine: which adapter versions are loaded, which are in use, and which to load or evict next.
  *
- * A slot counts only if this incarnation loaded it in the engine's current boot. Pins are taken before a request
- * is sent and given back after its last byte; a pinned slot is never unloaded. A load that fails makes its own
- * adapter version wait and no other.
+ * An adapter version counts as loaded only if this incarnation loaded it since the engine's last restart. A request pins its slot
+ * before it is sent and releases it after the last byte of the response; a pinned slot is never evicted. After a failed load, only
+ * the adapter version concerned is in backoff.
  */
 import { backoff, notRun, pause, type Failure, type Log, type Random, type WorkClass } from '@finchpitch/core'
 import { MovingAverage, Popularity, selectVictim } from '@finchpitch/decisions'
@@ -16,7 +16,7 @@
   slots: number
   log: Log
   random: Random
-  /** What the engine held before this incarnation, by labels; they take room until they are cleared. */
+  /** Labels of the adapters loaded by earlier incarnations; they occupy slots until they are cleared. */
   leftovers: readonly string[]
 }
 
@@ -48,21 +48,22 @@
   until: number
 }
 
-const firstLoadMs = 500
-const clearMs = 500
-/** How far behind an engine's report may be. */
+const initialLoadMs = 500
+const clearIntervalMs = 500
+/** Upper bound for the staleness of an engine's report. */
 const reportLagMs = 3000
-const classWorth: Record<WorkClass, number> = { desk: 8, caller: 4, batch: 1 }
+/** Cost of a waiting request by class, for choosing the next load. */
+const classWeights: Record<WorkClass, number> = { desk: 8, caller: 4, batch: 1 }
 
 export class Slots {
   readonly #slots = new Map<string, Slot>()
-  readonly #waiting = new Map<string, Waiter[]>()
+  readonly #waiters = new Map<string, Waiter[]>()
   readonly #popularity = new Map<string, Popularity>()
-  readonly #failed = new Map<string, Backoff>()
-  readonly #loadMs = new MovingAverage(firstLoadMs)
+  readonly #backoffs = new Map<string, Backoff>()
+  readonly #averageLoadMs = new MovingAverage(initialLoadMs)
   readonly #leftovers: Set<string>
-  #loading: string | undefined
-  /** Something changed while a load was being decided on or made. */
+  #loadingLabel: string | undefined
+  /** Something changed while a slot was being freed or loaded, so the next load has to be chosen again. */
   #changed = false
 
   constructor (private readonly options: SlotsOptions) {
@@ -77,29 +78,29 @@
     return this.#slots.has(label)
   }
 
-  /** Waits until the adapter version is loaded, and keeps it there until the pin is released. */
+  /** Waits until the adapter version is loaded, and protects it from eviction until the pin is released. */
   pin (demand: Demand, signal: AbortSignal): Promise<Result<Pin, Failure>> {
-    this.#count(demand.label)
+    this.#recordUse(demand.label)
     const slot = this.#slots.get(demand.label)
-    if (slot !== undefined) return Promise.resolve(ok(this.#pinned(demand.label, slot)))
-    const failed = this.#failed.get(demand.label)
-    const backoffMs = (failed?.until ?? 0) - Date.now()
+    if (slot !== undefined) return Promise.resolve(ok(this.#createPin(demand.label, slot)))
+    const loadBackoff = this.#backoffs.get(demand.label)
+    const backoffMs = (loadBackoff?.until ?? 0) - Date.now()
     if (backoffMs > 0) return Promise.resolve(err(notRun('load_failed', { retryAfterMs: backoffMs })))
-    return this.#wait(demand, signal)
+    return this.#enqueue(demand, signal)
   }
 
   /**
-   * Puts out what an earlier incarnation left in the engine, one by one as it falls idle, until `signal` aborts.
+   * Unloads the adapters left by earlier incarnations, each once it is idle, until `signal` aborts.
    *
-   * Only where the engine checks fences: a first order with this incarnation's fence keeps the earlier one from
-   * starting anything more, so a label that is idle a report's lag later stays idle.
+   * This is safe only with an engine that checks fencing tokens: after a first order with the token of this incarnation, it rejects
+   * those of earlier ones. A label that is idle once the reports have caught up with that order therefore stays idle.
    */
   async clearLeftovers (mayClear: () => boolean, signal: AbortSignal): Promise<void> {
     const { engine, fence, log } = this.options
     let fencedAt: number | undefined
     while (this.#leftovers.size > 0 && !signal.aborted) {
       if (fencedAt === undefined && mayClear() && (await engine.cancel({ id: 'none', fence })).isOk()) fencedAt = Date.now()
-      await pause(clearMs, signal)
+      await pause(clearIntervalMs, signal)
       if (fencedAt === undefined || Date.now() - fencedAt < reportLagMs) continue
       const report = await engine.report()
       if (report.isErr()) continue
@@ -108,37 +109,37 @@
         if (unloaded.isErr() && unloaded.error.code !== 'not_loaded') continue
         this.#leftovers.delete(label)
         log.info('slot.leftover_cleared', { label })
-        void this.#pump()
+        void this.#loadNext()
       }
     }
   }
 
-  /** The engine has restarted as `boot` and holds nothing. */
+  /** The engine has restarted, with the boot id `boot` and no adapters loaded. */
   restarted (boot: string): void {
     this.#leftovers.clear()
     for (const [label, slot] of this.#slots) {
       if (slot.boot !== boot) this.#slots.delete(label)
     }
     this.options.log.warn('engine.restarted', { boot })
-    void this.#pump()
+    void this.#loadNext()
   }
 
-  #count (label: string): void {
+  #recordUse (label: string): void {
     const popularity = this.#popularity.get(label) ?? new Popularity()
     popularity.add(Date.now())
     this.#popularity.set(label, popularity)
   }
 
-  #wait (demand: Demand, signal: AbortSignal): Promise<Result<Pin, Failure>> {
+  #enqueue (demand: Demand, signal: AbortSignal): Promise<Result<Pin, Failure>> {
     return new Promise(resolve => {
-      const leave = (failure: Failure): void => {
-        const left = (this.#waiting.get(demand.label) ?? []).filter(each => each !== waiter)
-        if (left.length > 0) this.#waiting.set(demand.label, left)
-        else this.#waiting.delete(demand.label)
+      const abandon = (failure: Failure): void => {
+        const others = (this.#waiters.get(demand.label) ?? []).filter(each => each !== waiter)
+        if (others.length > 0) this.#waiters.set(demand.label, others)
+        else this.#waiters.delete(demand.label)
         waiter.settle(err(failure))
       }
-      const onAbort = (): void => leave(notRun('cancelled'))
-      const timer = setTimeout(() => leave(notRun('overloaded', { detail: 'No slot fell free in time.', retryAfterMs: this.#loadMs.value })), Math.max(0, demand.deadline - Date.now()))
+      const onAbort = (): void => abandon(notRun('cancelled'))
+      const timer = setTimeout(() => abandon(notRun('overloaded', { detail: 'No slot fell free in time.', retryAfterMs: this.#averageLoadMs.value })), Math.max(0, demand.deadline - Date.now()))
       const settle = (result: Result<Pin, Failure>): void => {
         clearTimeout(timer)
         signal.removeEventListener('abort', onAbort)
@@ -146,53 +147,53 @@
       }
       const waiter: Waiter = { ...demand, settle }
       signal.addEventListener('abort', onAbort)
-      this.#waiting.set(demand.label, [...this.#waiting.get(demand.label) ?? [], waiter])
-      void this.#pump()
+      this.#waiters.set(demand.label, [...this.#waiters.get(demand.label) ?? [], waiter])
+      void this.#loadNext()
     })
   }
 
-  #pinned (label: string, slot: Slot): Pin {
+  #createPin (label: string, slot: Slot): Pin {
     slot.pins += 1
     let released = false
     const release = (): void => {
       if (released) return
       released = true
       slot.pins -= 1
-      void this.#pump()
+      void this.#loadNext()
     }
     return { label, boot: slot.boot, release }
   }
 
-  /** Loads what the waiting callers lose most by, one at a time, while there is room for it. */
-  async #pump (): Promise<void> {
+  /** Loads the adapter with the highest total weight of waiting requests, one load at a time, as long as a slot can be freed. */
+  async #loadNext (): Promise<void> {
     this.#changed = true
-    if (this.#loading !== undefined) return
+    if (this.#loadingLabel !== undefined) return
     this.#changed = false
-    const next = this.#costliest()
+    const next = this.#mostWanted()
     if (next === undefined) return
     const { label } = next
-    this.#loading = label
-    const made = await this.#makeRoom()
-    if (made) await this.#load(next)
-    this.#loading = undefined
-    if (made || this.#changed) void this.#pump()
+    this.#loadingLabel = label
+    const hasRoom = await this.#freeSlot()
+    if (hasRoom) await this.#load(next)
+    this.#loadingLabel = undefined
+    if (hasRoom || this.#changed) void this.#loadNext()
   }
 
-  #costliest (): Waiter | undefined {
-    const cost = (waiters: Waiter[]): number => waiters.reduce((sum, waiter) => sum + classWorth[waiter.class], 0)
-    const demands = [...this.#waiting.values()].filter(waiters => waiters.length > 0)
-    return demands.sort((a, b) => cost(b) - cost(a))[0]?.[0]
+  #mostWanted (): Waiter | undefined {
+    const weight = (waiters: Waiter[]): number => waiters.reduce((sum, waiter) => sum + classWeights[waiter.class], 0)
+    const demands = [...this.#waiters.values()].filter(waiters => waiters.length > 0)
+    return demands.sort((a, b) => weight(b) - weight(a))[0]?.[0]
   }
 
-  /** False while every slot is in use; a released pin tries again. */
-  async #makeRoom (): Promise<boolean> {
+  /** Evicts an adapter unless a slot is free. False while every slot is pinned; the next release of a pin tries again. */
+  async #freeSlot (): Promise<boolean> {
     if (this.#slots.size + this.#leftovers.size < this.options.slots) return true
     const now = Date.now()
     const residents = [...this.#slots].map(([label, { pins, loadMs }]) =>
       ({ label, pins, loadMs, popularity: this.#popularity.get(label)?.at(now) ?? 0 }))
     const label = selectVictim(residents)
     if (label === undefined) return false
-    // Gone from the table before the order is sent: no request can be given the slot while it empties.
+    // Removed before the unload order is sent, so that no request can pin the slot while it is being emptied.
     this.#slots.delete(label)
     const unloaded = await this.options.engine.unload({ label, fence: this.options.fence })
     if (unloaded.isErr() && unloaded.error.code !== 'not_loaded') {
@@ -204,32 +205,32 @@
   async #load ({ label, source }: Waiter): Promise<void> {
     const startedAt = Date.now()
     const loaded = await this.options.engine.load({ label, source, fence: this.options.fence })
-    const waiters = this.#waiting.get(label) ?? []
-    this.#waiting.delete(label)
+    const waiters = this.#waiters.get(label) ?? []
+    this.#waiters.delete(label)
     if (loaded.isErr()) return this.#loadFailed(label, loaded.error.detail, waiters)
-    this.#failed.delete(label)
+    this.#backoffs.delete(label)
     const loadMs = Date.now() - startedAt
-    this.#loadMs.add(loadMs)
+    this.#averageLoadMs.add(loadMs)
     const slot: Slot = { boot: loaded.value, pins: 0, loadMs }
     this.#slots.set(label, slot)
-    for (const waiter of waiters) waiter.settle(ok(this.#pinned(label, slot)))
+    for (const waiter of waiters) waiter.settle(ok(this.#createPin(label, slot)))
     this.options.log.debug('slot.loaded', { label, loadMs })
   }
 
   #loadFailed (label: string, detail: string, waiters: Waiter[]): void {
-    const failures = (this.#failed.get(label)?.failures ?? 0) + 1
+    const failures = (this.#backoffs.get(label)?.failures ?? 0) + 1
     const waitMs = backoff(failures, this.options.random)
-    this.#failed.set(label, { failures, until: Date.now() + waitMs })
+    this.#backoffs.set(label, { failures, until: Date.now() + waitMs })
     this.options.log.warn('slot.load_failed', { label, failures, detail })
     for (const waiter of waiters) waiter.settle(err(notRun('load_failed', { detail, retryAfterMs: waitMs })))
   }
 }
 
-/** Asks the engine for its boot until `signal` aborts, so a restart is noticed while nothing runs. */
-export const watchBoot = async (engine: Engine, everyMs: number, signal: AbortSignal, seen: (boot: string) => void): Promise<void> => {
+/** Polls the engine's boot id until `signal` aborts, so that a restart is detected even while no request runs. */
+export const watchBoot = async (engine: Engine, intervalMs: number, signal: AbortSignal, onBoot: (boot: string) => void): Promise<void> => {
   while (!signal.aborted) {
     const report = await engine.report()
-    if (report.isOk()) seen(report.value.boot)
-    await pause(everyMs, signal)
+    if (report.isOk()) onBoot(report.value.boot)
+    await pause(intervalMs, signal)
   }
 }
--- a/packages/daemon/src/start-entry.ts
+++ b/packages/daemon/src/start-entry.ts
@@ -1,5 +1,5 @@
 /**
- * Starting an entry instance: its listeners, its tasks, and its planned stop.
+ * Starts an entry instance: connects its parts, opens its listeners, runs its tasks and shuts it down gracefully.
  */
 import { readFile } from 'node:fs/promises'
 import { Address, newIncarnation, pause, within, type Log } from '@finchpitch/core'
@@ -41,7 +41,7 @@
     instances: new HttpInstanceList(settings.platform)
   })
   metrics.gauge('finchpitch_requests_running', 'Requests in progress.', () => entry.running)
-  metrics.gauge('finchpitch_configuration_revision', 'The revision in force here.', () => catalog.revision)
+  metrics.gauge('finchpitch_configuration_revision', 'Configuration revision in force at this process.', () => catalog.revision)
 
   let stopping = false
   const unready = (): string | undefined => stopping ? 'stopping' : entry.ready ? undefined : 'no configuration yet'
@@ -76,8 +76,8 @@
     stopping = true
     log.info('entry.stopping', { running: entry.running })
     await pause(settings['notice-ms'])
-    const whole = await within(settings['drain-ms'], callers.drain().then(() => true), false)
-    log.info('entry.stopped', { whole, running: entry.running })
+    const drained = await within(settings['drain-ms'], callers.drain().then(() => true), false)
+    log.info('entry.stopped', { whole: drained, running: entry.running })
     entry.close()
     await Promise.all([callers.stop(), operators.stop(), peers.close(), tasks])
     await store.close()
@@ -85,6 +85,6 @@
   return { listening: { callers: `${host}:${callers.port}`, operators: `${host}:${operators.port}`, peers: address }, stop }
 }
 
-/** The address that peers use, which may differ from the one listened on. */
-export const advertised = (listened: Address, host: string | undefined): Address =>
-  host === undefined ? listened : Address.parse(`${host}:${listened.slice(listened.lastIndexOf(':') + 1)}`)
+/** The address announced to peers, whose host may differ from the one listened on. */
+export const advertised = (bound: Address, host: string | undefined): Address =>
+  host === undefined ? bound : Address.parse(`${host}:${bound.slice(bound.lastIndexOf(':') + 1)}`)
--- a/packages/daemon/src/start-side.ts
+++ b/packages/daemon/src/start-side.ts
@@ -1,5 +1,5 @@
 /**
- * Starting a side process: its fence, its backend server, its listeners, and its planned stop.
+ * Starts a side process: takes a fencing token, connects to the backend server, opens the listeners and shuts down gracefully.
  */
 import { Address, backoff, newIncarnation, pause, within, type Log } from '@finchpitch/core'
 import { HttpEngine, HttpService, type Engine, type EngineReport } from '@finchpitch/backend'
@@ -17,8 +17,11 @@
 
 const random = Math.random
 
-/** Without a fence a side process can't order an engine about, so it waits for the store. */
-const untilFenced = async (store: ObjectStore, name: string, log: Log): Promise<number> => {
+/**
+ * Waits for the store to issue a fencing token. The backend server uses it to reject orders of an earlier incarnation, so a side
+ * process can't start without one.
+ */
+const acquireFence = async (store: ObjectStore, name: string, log: Log): Promise<number> => {
   for (let failures = 1; ; failures++) {
     const fence = await takeFence(store, name, random)
     if (fence.isOk()) return fence.value
@@ -27,7 +30,7 @@
   }
 }
 
-const untilReported = async (engine: Engine, log: Log): Promise<EngineReport> => {
+const awaitEngineReport = async (engine: Engine, log: Log): Promise<EngineReport> => {
   for (let failures = 1; ; failures++) {
     const report = await engine.report()
     if (report.isOk()) return report.value
@@ -41,7 +44,7 @@
     return new ServiceRunner({ service: new HttpService(settings.backend), fence, capacity: settings.capacity, catalog })
   }
   const engine = new HttpEngine(settings.backend)
-  return new EngineRunner({ model: settings.model, engine, fence, report: await untilReported(engine, log), catalog, log, random })
+  return new EngineRunner({ model: settings.model, engine, fence, report: await awaitEngineReport(engine, log), catalog, log, random })
 }
 
 export const startSide = async (settings: SideSettings, log: Log): Promise<Running> => {
@@ -50,21 +53,21 @@
   const catalog = new Catalog('common')
   const metrics = new Metrics()
   const incarnation = newIncarnation()
-  const fence = await untilFenced(store, process, log)
+  const fence = await acquireFence(store, process, log)
   const runner = await makeRunner(settings, fence, catalog, log)
   let address = Address.parse(`${host}:0`)
   const side = new Side({ process, incarnation, domain, address: () => address, serving: servingFrom(settings), runner, catalog, log, epochMs: settings['epoch-ms'] })
   metrics.gauge('finchpitch_requests_running', 'Requests in progress.', () => side.running)
-  metrics.gauge('finchpitch_requests_waiting', 'Requests waiting for the backend server.', () => runner.gate.waiting)
+  metrics.gauge('finchpitch_requests_waiting', 'Requests queued for the backend server.', () => runner.gate.waiting)
   if (runner instanceof EngineRunner) {
     const { prefixes, slots } = runner
-    metrics.gauge('finchpitch_cached_prefix_blocks', 'Prefix blocks that the engine says it holds.', () => prefixes.size)
-    metrics.gauge('finchpitch_cache_event_gaps', 'How often cache events were missing.', () => prefixes.gaps)
-    metrics.gauge('finchpitch_adapters_loaded', 'Adapter versions in slots.', () => slots.labels.length)
+    metrics.gauge('finchpitch_cached_prefix_blocks', 'Prefix blocks in the engine\'s cache, by its cache events.', () => prefixes.size)
+    metrics.gauge('finchpitch_cache_event_gaps', 'Gaps detected in the sequence of cache events.', () => prefixes.gaps)
+    metrics.gauge('finchpitch_adapters_loaded', 'Adapter versions loaded by this side process.', () => slots.labels.length)
   }
-  metrics.gauge('finchpitch_keys', 'Request keys remembered.', () => side.executions.size)
-  metrics.gauge('finchpitch_kept_answer_bytes', 'Bytes of answers kept for later tries.', () => side.executions.keptBytes)
-  metrics.gauge('finchpitch_configuration_revision', 'The revision in force here.', () => catalog.revision)
+  metrics.gauge('finchpitch_keys', 'Idempotency keys remembered.', () => side.executions.size)
+  metrics.gauge('finchpitch_kept_answer_bytes', 'Bytes of responses kept for retries with the same idempotency key.', () => side.executions.keptBytes)
+  metrics.gauge('finchpitch_configuration_revision', 'Configuration revision in force at this process.', () => catalog.revision)
 
   const peers = await listen(host, settings['peer-port'], stream => side.accept(stream))
   address = advertised(peers.address, settings['advertise-host'])
@@ -79,7 +82,7 @@
   })
   await operators.start()
 
-  const ending = new AbortController()
+  const shutdown = new AbortController()
   const list = new HttpInstanceList(settings.platform)
   const instances = async (): Promise<Instance[]> => (await list.read()).unwrapOr([])
   const hello = { type: 'hello', protocol: protocolVersion, process, incarnation, address, domain } as const
@@ -87,7 +90,7 @@
     hello: () => ({ ...hello, revision: catalog.revision }),
     heartbeat: () => ({ type: 'heartbeat' as const, revision: catalog.revision })
   }
-  const { signal } = ending
+  const { signal } = shutdown
   const tasks = Promise.all([
     side.run(),
     keepUplink({ process, domain, instances, catalog, channel, dial, log, random, signal })
@@ -97,9 +100,9 @@
     stopping = true
     side.leave()
     log.info('side.stopping', { running: side.running })
-    const whole = await within(settings['drain-ms'], side.drained().then(() => true), false)
-    log.info('side.stopped', { whole, running: side.running })
-    ending.abort()
+    const drained = await within(settings['drain-ms'], side.drained().then(() => true), false)
+    log.info('side.stopped', { whole: drained, running: side.running })
+    shutdown.abort()
     side.close()
     await Promise.all([operators.stop(), peers.close(), tasks])
     await store.close()
--- a/packages/daemon/src/uplink.ts
+++ b/packages/daemon/src/uplink.ts
@@ -1,9 +1,9 @@
 /**
- * Uplinks: how a configuration change reaches every process while few of them watch the store.
+ * Uplinks propagate configuration changes to every process while only a few of them watch the store.
  *
- * In each failure domain the entries that lead one rendezvous order hold a watch. Every other process keeps one
- * channel to one of them, whose heartbeat names a new revision as soon as it is there. Views of the instance list
- * may differ: then a few more watches are held, or a process hears of a change one step later.
+ * In each failure domain, the first entries by one rendezvous hash are the watchers. Every other process keeps a channel to one of
+ * them, which announces a new revision by a heartbeat as soon as it has it. Processes may see different instance lists for a
+ * moment: then a few more entries watch, or a process learns of a change one hop later.
  */
 import { backoff, pause, type Address, type FailureDomain, type Log, type ProcessId, type Random } from '@finchpitch/core'
 import { rankCandidates } from '@finchpitch/decisions'
@@ -11,21 +11,21 @@
 import { Channel, type ChannelOptions, type Dial } from '@finchpitch/wire'
 import { CatalogExchange } from './catalog-exchange.js'
 
-/** Watching entries in each failure domain. */
+/** Number of entries in each failure domain that watch the store. */
 export const watchersPerDomain = 3
 const watcherKey = 'watchers'
 
-/** The entries that hold a watch for `domain`; those of other domains where it has none. */
+/** The entries that watch the store for `domain`: its own, or those of other domains if it has none. */
 export const watchersOf = (instances: readonly Instance[], domain: FailureDomain): Instance[] => {
   const entries = instances.filter(each => each.role === 'entry' && !each.leaving)
-  const near = entries.filter(each => each.domain === domain)
-  return rankCandidates(watcherKey, near.length > 0 ? near : entries, watchersPerDomain)
+  const local = entries.filter(each => each.domain === domain)
+  return rankCandidates(watcherKey, local.length > 0 ? local : entries, watchersPerDomain)
 }
 
 export interface UplinkOptions {
   process: ProcessId
   domain: FailureDomain
-  /** The instance list, read when an uplink is wanted and not before. */
+  /** The instance list, read each time an uplink is opened. */
   instances: () => Promise<readonly Instance[]>
   catalog: Catalog
   channel: ChannelOptions
@@ -35,26 +35,29 @@
   signal: AbortSignal
 }
 
-/** One watcher that isn't this process, spread so that each serves its share. */
-const pick = async ({ process, domain, instances }: UplinkOptions, failures: number): Promise<Address | undefined> => {
+/**
+ * The watcher to connect to, other than this process: chosen by rendezvous hashing, which spreads the processes over the watchers,
+ * and the next one after each failure.
+ */
+const pickWatcher = async ({ process, domain, instances }: UplinkOptions, failures: number): Promise<Address | undefined> => {
   const others = watchersOf(await instances(), domain).filter(each => each.process !== process)
   return rankCandidates(process, others, others.length)[failures % Math.max(1, others.length)]?.address
 }
 
-/** Keeps one uplink until `signal` aborts. */
+/** Keeps one uplink open until `signal` aborts, reconnecting with backoff. */
 export const keepUplink = async (options: UplinkOptions): Promise<void> => {
   const { signal, random } = options
   let failures = 0
   while (!signal.aborted) {
-    const address = await pick(options, failures)
-    const lasted = address === undefined ? false : await holdChannel(address, options)
-    failures = lasted ? 0 : failures + 1
+    const address = await pickWatcher(options, failures)
+    const connected = address === undefined ? false : await runUplink(address, options)
+    failures = connected ? 0 : failures + 1
     await pause(backoff(failures, random), signal)
   }
 }
 
-/** Reads one channel to its end; whether it had come to a hello. */
-const holdChannel = async (address: Address, { dial, channel: channelOptions, catalog, log, signal }: UplinkOptions): Promise<boolean> => {
+/** Runs one uplink until its channel ends. Returns whether the peer had sent its hello. */
+const runUplink = async (address: Address, { dial, channel: channelOptions, catalog, log, signal }: UplinkOptions): Promise<boolean> => {
   try {
     const channel = new Channel(await dial(address), channelOptions)
     const close = (): void => channel.close()
@@ -68,10 +71,10 @@
   }
 }
 
-/** Reads a channel that carries configuration and nothing else. */
+/** Exchanges the configuration over a channel used for nothing else, until it ends. */
 export const readPeer = async (channel: Channel, catalog: Catalog): Promise<void> => {
-  const configuration = new CatalogExchange(catalog, channel)
-  void channel.greeted.then(greeted => { if (greeted) configuration.see(channel.peer.revision) })
-  for await (const frame of channel.frames()) configuration.take(frame)
-  configuration.close()
+  const exchange = new CatalogExchange(catalog, channel)
+  void channel.greeted.then(greeted => { if (greeted) exchange.see(channel.peer.revision) })
+  for await (const frame of channel.frames()) exchange.take(frame)
+  exchange.close()
 }
--- a/packages/daemon/test/dispatch.test.ts
+++ b/packages/daemon/test/dispatch.test.ts
@@ -17,93 +17,93 @@
 const once = { key: RequestKey.parse('key'), firstTry: false }
 const answer: Answer = { status: 200, headers: {}, body: (async function * () { yield Buffer.from('whole') })() }
 
-describe('dispatch', () => {
+describe('dispatcher', () => {
   let time: FakeTime
   let store: MemoryStore
-  let dispatch: Dispatch
-  /** What the side process tells each ask in turn. */
-  let replies: Array<Result<Answer, Failure>>
-  let asked: number
-  /** What side processes were preferred by. */
-  let keys: string[]
-  const open = new AbortController().signal
+  let dispatcher: Dispatch
+  /** The side process's results for successive attempts. */
+  let results: Array<Result<Answer, Failure>>
+  let attempts: number
+  /** The rendezvous keys by which side processes were selected. */
+  let rendezvousKeys: string[]
+  const signal = new AbortController().signal
 
   beforeEach(() => {
     time = new FakeTime()
     store = new MemoryStore()
-    asked = 0
-    keys = []
-    const run = async (): Promise<Result<Answer, Failure>> => replies[asked++] ?? err(unknown('connection_lost'))
+    attempts = 0
+    rendezvousKeys = []
+    const run = async (): Promise<Result<Answer, Failure>> => results[attempts++] ?? err(unknown('connection_lost'))
     const peer = { run, incarnation: Incarnation.parse('abcdefghijklmnop'), epoch: 0 } as unknown as SidePeer
-    const chosen = { process: ProcessId.parse('side'), address: Address.parse('127.0.0.1:1'), peer }
-    const choose = async (_serving: unknown, key: string): Promise<typeof chosen> => {
-      keys.push(key)
-      return chosen
+    const selected = { process: ProcessId.parse('side'), address: Address.parse('127.0.0.1:1'), peer }
+    const choose = async (_serving: unknown, key: string): Promise<typeof selected> => {
+      rendezvousKeys.push(key)
+      return selected
     }
     const sides = { choose, reach: async () => peer } as unknown as Sides
     const claims = new Claims({ store, random: () => 0.5, buckets: 1, keptMs: 60_000 })
-    dispatch = new Dispatch({ sides, claims, catalog: new Catalog('all'), catchUp: async () => {}, log: quietLog, random: () => 0.5 })
+    dispatcher = new Dispatch({ sides, claims, catalog: new Catalog('all'), catchUp: async () => {}, log: quietLog, random: () => 0.5 })
   })
 
   afterEach(() => time.restore())
 
-  const told = async (result: Promise<Result<Answer, Failure>>): Promise<string> => {
+  const outcomeOf = async (result: Promise<Result<Answer, Failure>>): Promise<string> => {
     const ended = await time.until(result)
     return ended.isOk() ? 'ran' : `${ended.error.outcome} ${ended.error.code}`
   }
 
-  describe('with a key', () => {
-    it('binds it anew after a refusal', async () => {
-      replies = [err(notRun('leaving')), ok(answer)]
-      expect(await told(dispatch.runOnce(work, once, open))).to.equal('ran')
+  describe('with an idempotency key', () => {
+    it('binds the key again after a refusal', async () => {
+      results = [err(notRun('leaving')), ok(answer)]
+      expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('ran')
       expect(store.calls.writes).to.equal(2)
     })
 
-    it('does not take an ask that was not sent for a refusal', async () => {
-      replies = [err(unknown('connection_lost')), err(notRun('not_sent')), ok(answer)]
-      expect(await told(dispatch.runOnce(work, once, open))).to.equal('ran')
+    it('does not treat an attempt that was not sent as a refusal', async () => {
+      results = [err(unknown('connection_lost')), err(notRun('not_sent')), ok(answer)]
+      expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('ran')
       expect(store.calls.writes).to.equal(1)
     })
 
-    it('is unknown when it could be sent no more after it may have arrived', async () => {
-      replies = [err(unknown('connection_lost')), ...Array.from({ length: 5 }, () => err(notRun('not_sent')))]
-      expect(await told(dispatch.runOnce(work, once, open))).to.equal('unknown connection_lost')
+    it('is unknown if an attempt may have arrived and no later one can be sent', async () => {
+      results = [err(unknown('connection_lost')), ...Array.from({ length: 5 }, () => err(notRun('not_sent')))]
+      expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('unknown connection_lost')
     })
 
-    it('is told as not run only while the refused binding is in place', async () => {
-      replies = [err(notRun('key_reused'))]
-      expect(await told(dispatch.runOnce(work, once, open))).to.equal('not_run key_reused')
+    it('is reported as not run only if the refused binding is still the current one', async () => {
+      results = [err(notRun('key_reused'))]
+      expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('not_run key_reused')
       store.down = true
-      replies = [err(notRun('key_reused'))]
-      asked = 0
-      expect(await told(dispatch.runOnce(work, once, open))).to.equal('unknown store_unavailable')
+      results = [err(notRun('key_reused'))]
+      attempts = 0
+      expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('unknown store_unavailable')
     })
   })
 
-  describe('without a key', () => {
-    it('goes on after an unknown end only where it may be repeated', async () => {
-      replies = [err(unknown('connection_lost')), ok(answer)]
-      expect(await told(dispatch.run(work, true, open))).to.equal('ran')
-      asked = 0
-      expect(await told(dispatch.run(work, false, open))).to.equal('unknown connection_lost')
+  describe('without an idempotency key', () => {
+    it('is retried after an unknown outcome only if it is repeatable', async () => {
+      results = [err(unknown('connection_lost')), ok(answer)]
+      expect(await outcomeOf(dispatcher.run(work, true, signal))).to.equal('ran')
+      attempts = 0
+      expect(await outcomeOf(dispatcher.run(work, false, signal))).to.equal('unknown connection_lost')
     })
 
-    it('goes on after a proved refusal in any case', async () => {
-      replies = [err(notRun('leaving')), ok(answer)]
-      expect(await told(dispatch.run(work, false, open))).to.equal('ran')
+    it('is retried after a refusal even if it is not repeatable', async () => {
+      results = [err(notRun('leaving')), ok(answer)]
+      expect(await outcomeOf(dispatcher.run(work, false, signal))).to.equal('ran')
     })
   })
 
-  it('spreads a service over many lists and keeps an adapter to one', async () => {
+  it('spreads a service over many preference lists and keeps an adapter to one', async () => {
     const target = { kind: 'adapter', team: work.team, adapter: 'a', version: 'v1', model: ModelName.parse('base-7b'), source: 's' } as Work['target']
-    for (const id of ['a', 'b', 'c']) await dispatch.ticket({ ...work, id: RequestId.parse(id) })
-    expect(new Set(keys).size).to.equal(3)
-    keys = []
-    for (const id of ['a', 'b', 'c']) await dispatch.ticket({ target, id: RequestId.parse(id) })
-    expect(new Set(keys).size).to.equal(1)
+    for (const id of ['a', 'b', 'c']) await dispatcher.ticket({ ...work, id: RequestId.parse(id) })
+    expect(new Set(rendezvousKeys).size).to.equal(3)
+    rendezvousKeys = []
+    for (const id of ['a', 'b', 'c']) await dispatcher.ticket({ target, id: RequestId.parse(id) })
+    expect(new Set(rendezvousKeys).size).to.equal(1)
   })
 
   it('issues tickets that name the incarnation', async () => {
-    expect(await dispatch.ticket(work)).to.match(/^tk1\/side\/abcdefghijklmnop\/0\//)
+    expect(await dispatcher.ticket(work)).to.match(/^tk1\/side\/abcdefghijklmnop\/0\//)
   })
 })
--- a/packages/daemon/test/executions.test.ts
+++ b/packages/daemon/test/executions.test.ts
@@ -38,8 +38,8 @@
   return text
 }
 
-describe('executions', () => {
-  let executions: Executions
+describe('idempotency records', () => {
+  let records: Executions
   let starts: number
   const start = async (): Promise<Result<Answer, Failure>> => {
     starts += 1
@@ -47,72 +47,72 @@
   }
 
   beforeEach(() => {
-    executions = new Executions({ incarnation, ...defaultLimits })
+    records = new Executions({ incarnation, ...defaultLimits })
     starts = 0
   })
 
-  it('runs a binding once, for tries at once and later', async () => {
-    const tries = await Promise.all([1, 2, 3].map(async () => await read(await executions.run(work(), once('n'), start))))
-    tries.push(await read(await executions.run(work(), once('n'), start)))
-    expect(new Set(tries)).to.deep.equal(new Set(['whole answer']))
+  it('run a binding once for concurrent and later attempts', async () => {
+    const attempts = await Promise.all([1, 2, 3].map(async () => await read(await records.run(work(), once('n'), start))))
+    attempts.push(await read(await records.run(work(), once('n'), start)))
+    expect(new Set(attempts)).to.deep.equal(new Set(['whole answer']))
     expect(starts).to.equal(1)
   })
 
-  it('remembers a refusal, and runs a new binding of the key', async () => {
+  it('remember a refusal, and run a new binding of the same key', async () => {
     const refuse = async (): Promise<Result<Answer, Failure>> => err(notRun('leaving'))
-    expect(await read(await executions.run(work(), once('a'), refuse))).to.equal('not_run leaving')
-    expect(await read(await executions.run(work(), once('a'), start))).to.equal('not_run leaving')
-    expect(await read(await executions.run(work(), once('b'), start))).to.equal('whole answer')
+    expect(await read(await records.run(work(), once('a'), refuse))).to.equal('not_run leaving')
+    expect(await read(await records.run(work(), once('a'), start))).to.equal('not_run leaving')
+    expect(await read(await records.run(work(), once('b'), start))).to.equal('whole answer')
   })
 
-  it('refuses another request under the same binding', async () => {
-    await executions.run(work('a'), once('n'), start)
-    expect(await read(await executions.run(work('b'), once('n'), start))).to.equal('not_run key_reused')
+  it('refuse a different request with the same binding', async () => {
+    await records.run(work('a'), once('n'), start)
+    expect(await read(await records.run(work('b'), once('n'), start))).to.equal('not_run key_reused')
   })
 
-  it('keeps two teams\' equal nonces apart', async () => {
-    await executions.run(work(), once('n'), start)
-    await executions.run({ ...work(), team: TeamName.parse('fjordtavle') }, once('n'), start)
+  it('keep equal nonces of different teams apart', async () => {
+    await records.run(work(), once('n'), start)
+    await records.run({ ...work(), team: TeamName.parse('fjordtavle') }, once('n'), start)
     expect(starts).to.equal(2)
   })
 
-  it('never runs what is bound to another incarnation', async () => {
+  it('never run a request that is bound to another incarnation', async () => {
     const other = Incarnation.parse('ponmlkjihgfedcba')
-    expect(await read(await executions.run(work(), once('n', 0, other), start))).to.equal('unknown incarnation_gone')
+    expect(await read(await records.run(work(), once('n', 0, other), start))).to.equal('unknown incarnation_gone')
     expect(starts).to.equal(0)
   })
 
   describe('epochs', () => {
-    it('keep an answer through the next one and refuse it after that, without running it', async () => {
-      await executions.run(work(), once('n'), start)
-      executions.advance()
-      expect(await read(await executions.run(work(), once('n'), start))).to.equal('whole answer')
-      executions.advance()
-      expect(await read(await executions.run(work(), once('n'), start))).to.equal('unknown answer_expired')
-      expect([starts, executions.size, executions.keptBytes]).to.deep.equal([1, 0, 0])
+    it('keep a response through the next epoch, and refuse the key after that without running it', async () => {
+      await records.run(work(), once('n'), start)
+      records.advance()
+      expect(await read(await records.run(work(), once('n'), start))).to.equal('whole answer')
+      records.advance()
+      expect(await read(await records.run(work(), once('n'), start))).to.equal('unknown answer_expired')
+      expect([starts, records.size, records.keptBytes]).to.deep.equal([1, 0, 0])
     })
   })
 
   describe('limits', () => {
-    it('say unknown, not refused, when no more keys can be remembered', async () => {
-      executions = new Executions({ incarnation, ...defaultLimits, maxKeys: 1 })
-      await executions.run(work(), once('a'), start)
-      expect(await read(await executions.run(work(), once('b'), start))).to.equal('unknown keys_full')
+    it('report an unknown outcome, not a refusal, when no more keys can be remembered', async () => {
+      records = new Executions({ incarnation, ...defaultLimits, maxKeys: 1 })
+      await records.run(work(), once('a'), start)
+      expect(await read(await records.run(work(), once('b'), start))).to.equal('unknown keys_full')
     })
 
-    it('pass a long answer to its first reader whole and keep it for nobody', async () => {
-      executions = new Executions({ incarnation, ...defaultLimits, maxAnswerBytes: 10 })
+    it('stream a long response completely to its first reader and keep it for no other', async () => {
+      records = new Executions({ incarnation, ...defaultLimits, maxAnswerBytes: 10 })
       const long = async (): Promise<Result<Answer, Failure>> => ok(answer('12345678', '12345678', '12345678', 'end'))
-      expect(await read(await executions.run(work(), once('n'), long))).to.equal('123456781234567812345678end')
-      expect(await read(await executions.run(work(), once('n'), long))).to.equal('unknown answer_expired')
+      expect(await read(await records.run(work(), once('n'), long))).to.equal('123456781234567812345678end')
+      expect(await read(await records.run(work(), once('n'), long))).to.equal('unknown answer_expired')
     })
 
-    it('let the oldest kept answers go first', async () => {
-      executions = new Executions({ incarnation, ...defaultLimits, maxKeptBytes: 20 })
-      for (const nonce of ['a', 'b']) await read(await executions.run(work(), once(nonce), start))
-      expect(await read(await executions.run(work(), once('a'), start))).to.equal('unknown answer_expired')
-      expect(await read(await executions.run(work(), once('b'), start))).to.equal('whole answer')
-      expect(executions.keptBytes).to.be.at.most(20)
+    it('discard the oldest kept responses first', async () => {
+      records = new Executions({ incarnation, ...defaultLimits, maxKeptBytes: 20 })
+      for (const nonce of ['a', 'b']) await read(await records.run(work(), once(nonce), start))
+      expect(await read(await records.run(work(), once('a'), start))).to.equal('unknown answer_expired')
+      expect(await read(await records.run(work(), once('b'), start))).to.equal('whole answer')
+      expect(records.keptBytes).to.be.at.most(20)
     })
   })
 })
--- a/packages/daemon/test/gate.test.ts
+++ b/packages/daemon/test/gate.test.ts
@@ -13,14 +13,14 @@
   call: { method: 'PUT', path: '/', headers: {}, body: Buffer.alloc(0) }
 })
 
-describe('gate', () => {
+describe('admission queue', () => {
   let time: FakeTime
-  let gate: Gate
+  let queue: Gate
   let served: string[]
-  const open = new AbortController().signal
+  const signal = new AbortController().signal
 
-  const serve = async (name: string, each: Work, ms = 100): Promise<void> => {
-    const release = await gate.enter(each, Date.now() + each.patienceMs, open)
+  const serve = async (name: string, request: Work, ms = 100): Promise<void> => {
+    const release = await queue.enter(request, Date.now() + request.patienceMs, signal)
     if (release.isErr()) {
       served.push(`${name} ${release.error.code}`)
       return
@@ -32,12 +32,12 @@
   beforeEach(() => {
     time = new FakeTime()
     served = []
-    gate = new Gate({ capacity: 1, maxWaiting: 100, weightOf: team => team === 'heavy' ? 2 : 1 })
+    queue = new Gate({ capacity: 1, maxWaiting: 100, weightOf: team => team === 'heavy' ? 2 : 1 })
   })
 
   afterEach(() => time.restore())
 
-  it('serves the desk before callers and callers before the batch', async () => {
+  it('serves by class: desk, then caller, then batch', async () => {
     void serve('first', work('a', 'batch'))
     void serve('batch', work('a', 'batch'))
     void serve('caller', work('a', 'caller'))
@@ -46,37 +46,37 @@
     expect(served).to.deep.equal(['first', 'desk', 'caller', 'batch'])
   })
 
-  it('ages the batch, so that a steady stream of desk work does not starve it', async () => {
+  it('ages batch requests, so that a steady stream of desk requests does not starve them', async () => {
     void serve('first', work('a', 'desk'))
     void serve('batch', work('a', 'batch', 3_600_000))
     for (let second = 0; second < 120; second++) {
-      for (let each = 0; each < 11; each++) void serve('desk', work('a', 'desk', 3_600_000))
+      for (let request = 0; request < 11; request++) void serve('desk', work('a', 'desk', 3_600_000))
       await time.pass(1000)
     }
     expect(served).to.include('batch')
   })
 
-  it('shares between teams by weight, whoever sends more', async () => {
-    for (let each = 0; each < 30; each++) void serve('flood', work('flood', 'caller'))
-    for (let each = 0; each < 10; each++) void serve('heavy', work('heavy', 'caller'))
+  it('shares capacity between teams by weight, not by number of requests', async () => {
+    for (let request = 0; request < 30; request++) void serve('flood', work('flood', 'caller'))
+    for (let request = 0; request < 10; request++) void serve('heavy', work('heavy', 'caller'))
     await time.pass(1550)
     expect(served.filter(name => name === 'heavy')).to.have.length(10)
   })
 
-  describe('what can not be served in time', () => {
-    it('is refused at once, with a time to come back', async () => {
-      for (let each = 0; each < 20; each++) void serve('x', work('a', 'caller'))
-      const refusal = gate.refusal(work('a', 'caller', 100))
+  describe('a request that can not be served in time', () => {
+    it('is refused at once, with a retry hint', async () => {
+      for (let request = 0; request < 20; request++) void serve('x', work('a', 'caller'))
+      const refusal = queue.refusal(work('a', 'caller', 100))
       expect(refusal).to.include({ code: 'overloaded', outcome: 'not_run' })
       expect(refusal?.retryAfterMs).to.be.above(1000)
     })
 
-    it('leaves the queue when its caller stops waiting', async () => {
+    it('leaves the queue when its caller\'s time-out has passed', async () => {
       void serve('first', work('a', 'caller'), 5000)
       void serve('late', work('a', 'caller', 500))
       await time.pass(600)
       expect(served).to.deep.equal(['first', 'late overloaded'])
-      expect(gate.waiting).to.equal(0)
+      expect(queue.waiting).to.equal(0)
     })
   })
 })
--- a/packages/daemon/test/processes.test.ts
+++ b/packages/daemon/test/processes.test.ts
@@ -21,13 +21,13 @@
     await system.stop()
   })
 
-  describe('requests that are not valid', () => {
-    it('each get an error that names the place, and the process goes on', async () => {
+  describe('invalid requests', () => {
+    it('each get a specific error, and the process keeps running', async () => {
       system = await SmallSystem.start()
       const chat = '/v1/chat/completions'
       const messages = [{ role: 'user', content: 'hei' }]
       const statement = { model: 'quetzal/statement', prompt: 'x' }
-      const answers = [
+      const replies = [
         await system.ask('quetzal', chat, '{"model": '),
         await system.ask('quetzal', chat, { model: 'no-slash', messages }),
         await system.ask('quetzal', '/v1/completions', { ...statement, model: 'quetzal/nothing' }),
@@ -41,7 +41,7 @@
         await system.ask('quetzal', '/v2/nothing', {}),
         await system.ask('quetzal', '/v1/completions', 'x'.repeat(3 * 1024 * 1024))
       ]
-      expect(await Promise.all(answers.map(errorOf))).to.deep.equal([
+      expect(await Promise.all(replies.map(errorOf))).to.deep.equal([
         '400 invalid_body not_run',
         '400 invalid_body not_run',
         '404 unknown_adapter not_run',
@@ -58,7 +58,7 @@
       expect((await system.ask('quetzal', '/v1/completions', statement)).statusCode).to.equal(200)
     })
 
-    it('end one connection when they are broken frames', async () => {
+    it('close only their own connection when they are corrupt frames', async () => {
       system = await SmallSystem.start()
       const [host, port] = (system.daemon('ledger-0').listening.peers ?? '').split(':')
       const socket = connect(Number(port), host)
@@ -70,7 +70,7 @@
     })
   })
 
-  describe('settings that are not valid', () => {
+  describe('invalid settings', () => {
     it('are reported together, with exit code 2', async () => {
       system = await SmallSystem.start()
       const start = Daemon.start({ role: 'side', process: 'Bad Name', domain: 'zone', platform: 'nowhere', flags: { 'log-level': 'loud', capacity: 0 } })
@@ -80,9 +80,9 @@
     })
   })
 
-  describe('a planned stop', () => {
+  describe('a graceful shutdown', () => {
     for (const stopped of ['engine-0', 'entry-0']) {
-      it(`of ${stopped} ends a stream in progress whole`, async () => {
+      it(`of ${stopped} completes a stream in progress`, async () => {
         system = await SmallSystem.start()
         const [engine] = system.engines
         if (engine === undefined) throw new Error('there is an engine')
@@ -95,7 +95,7 @@
       })
     }
 
-    it('of a side process turns new work away at once, though the instance list still shows it', async () => {
+    it('of a side process refuses new requests at once, though the instance list still contains it', async () => {
       system = await SmallSystem.start()
       const { service } = system.ledger
       let release = (): void => {}
@@ -105,7 +105,7 @@
       await begun
       const exit = system.daemon('ledger-0').stop('SIGTERM')
       const refused = []
-      // The signal may take a moment to arrive; what comes after it is refused and not run.
+      // The signal may take a moment to arrive; requests after it are refused as not run.
       do refused.push(await errorOf(await system.ask('fjordtavle', '/services/booking-ledger/x', 'late', { headers: { 'finchpitch-patience-ms': '200' } })))
       while (refused.at(-1)?.includes('no_backend') === false && refused.at(-1)?.includes('leaving') === false)
       release()
@@ -114,8 +114,8 @@
     })
   })
 
-  describe('a caller that hangs up', () => {
-    it('ends its request at the engine', async () => {
+  describe('a caller that disconnects', () => {
+    it('cancels its request at the engine', async () => {
       system = await SmallSystem.start()
       const [engine] = system.engines
       if (engine === undefined) throw new Error('there is an engine')
@@ -130,8 +130,8 @@
     })
   })
 
-  describe('a request with a key', () => {
-    it('runs once when its side process is paused, asked again elsewhere and resumed', async () => {
+  describe('a request with an idempotency key', () => {
+    it('runs once if its side process is suspended, the request is retried at another entry, and the process resumes', async () => {
       system = await SmallSystem.start({ entries: 2 })
       const { service } = system.ledger
       const headers = { 'idempotency-key': 'booking-7', 'finchpitch-patience-ms': '30000' }
@@ -144,12 +144,12 @@
       const second = system.ask('fjordtavle', '/services/booking-ledger/x', 'ingrid', { entry: 'entry-1', headers })
       release()
       system.daemon('ledger-0').signal('SIGCONT')
-      const answers = await Promise.all([first, second].map(async reply => await (await reply).body.text()))
-      expect(answers[0]).to.equal(answers[1])
+      const replies = await Promise.all([first, second].map(async reply => await (await reply).body.text()))
+      expect(replies[0]).to.equal(replies[1])
       expect(service.changes).to.deep.equal(['ingrid'])
     })
 
-    it('is told as unknown when the process that ran it was killed', async () => {
+    it('gets the outcome unknown if the process that ran it was killed', async () => {
       system = await SmallSystem.start()
       const { service } = system.ledger
       service.held = new Promise<void>(() => {})
@@ -163,7 +163,7 @@
       expect(service.changes).to.deep.equal(['kari'])
     })
 
-    it('runs by ticket while the store is down', async () => {
+    it('runs with a ticket while the store is down', async () => {
       system = await SmallSystem.start()
       const { store } = system.platform
       store.down = true
@@ -171,13 +171,13 @@
       const refused = await system.ask('fjordtavle', path, 'ola', { headers: { 'idempotency-key': 'booking-9', 'finchpitch-first-try': 'yes' } })
       const { error } = await refused.body.json() as { error: { outcome: string, ticket: string } }
       expect(error.outcome).to.equal('not_run')
-      const answer = await system.ask('fjordtavle', path, 'ola', { headers: { 'idempotency-key': error.ticket } })
-      expect([answer.statusCode, system.ledger.service.changes]).to.deep.equal([200, ['ola']])
+      const reply = await system.ask('fjordtavle', path, 'ola', { headers: { 'idempotency-key': error.ticket } })
+      expect([reply.statusCode, system.ledger.service.changes]).to.deep.equal([200, ['ola']])
     })
   })
 
   describe('an engine', () => {
-    it('that cuts a stream has it resumed at the next token', async () => {
+    it('that breaks off a stream is asked to resume it at the next token', async () => {
       system = await SmallSystem.start()
       const [engine] = system.engines
       if (engine === undefined) throw new Error('there is an engine')
@@ -188,7 +188,7 @@
       expect(engine.engine.runs).to.have.length(1)
     })
 
-    it('that restarts empty is noticed, and the adapter is loaded again', async () => {
+    it('that restarts without adapters is detected, and the adapter is loaded again', async () => {
       system = await SmallSystem.start()
       const [engine] = system.engines
       const statement = { model: 'quetzal/statement', prompt: 'x' }
@@ -199,8 +199,8 @@
     })
   })
 
-  describe('health', () => {
-    it('tells readiness, metrics and takes a log level', async () => {
+  describe('the operators\' listener', () => {
+    it('serves health, readiness and metrics, and sets the log level', async () => {
       system = await SmallSystem.start()
       const operators = system.daemon('entry-0').url('operators')
       const [health, ready, metrics] = await Promise.all(['/healthz', '/readyz', '/metrics'].map(async path => await (await request(`${operators}${path}`)).body.text()))
@@ -209,28 +209,28 @@
       expect((await system.operator().setLogLevel({ level: 'debug' }))._unsafeUnwrap().level).to.equal('debug')
     })
 
-    it('counts the prefixes that an engine says it holds', async () => {
+    it('counts the cached prefixes that an engine reports', async () => {
       system = await SmallSystem.start()
       const metrics = async (): Promise<string> => await (await request(`${system.daemon('engine-0').url('operators')}/metrics`)).body.text()
       do await (await system.ask('quetzal', '/v1/completions', { model: 'quetzal/statement', prompt: 'x', max_tokens: 1 })).body.dump()
       while (!(await metrics()).includes('finchpitch_cached_prefix_blocks 1'))
     })
 
-    it('keeps operators\' calls from others', async () => {
+    it('rejects operators\' calls with a caller\'s token', async () => {
       system = await SmallSystem.start()
       const reply = await request(`${system.daemon('entry-0').url('operators')}/operator/v1/configuration`, { headers: { authorization: 'Bearer fjord-token' } })
       expect(await errorOf(reply)).to.equal('401 unauthenticated not_run')
     })
   })
 
-  describe('a configuration', () => {
-    it('is in force at every process after it was accepted', async () => {
+  describe('a configuration change', () => {
+    it('takes effect at every process after it was accepted', async () => {
       system = await SmallSystem.start({ entries: 2 })
       const teams = smallConfiguration.teams.map(team => ({ ...team, weight: 2 }))
       await system.apply({ ...smallConfiguration, teams }, 1)
       const inForce = async (name: string): Promise<string> => await (await request(`${system.daemon(name).url('operators')}/metrics`)).body.text()
       for (const name of system.daemons.keys()) {
-        while (!(await inForce(name)).includes('finchpitch_configuration_revision 2')) { /* asks until it is, or mocha's time is up */ }
+        while (!(await inForce(name)).includes('finchpitch_configuration_revision 2')) { /* polls until it is or the test times out */ }
       }
     })
   })
