--- a/packages/backend/src/cache-event.ts
+++ b/packages/backend/src/cache-event.ts
@@ -1,23 +1,24 @@
 /**
- * Cache events: which prompt prefixes an engine says that it holds. They come late, and some don't come at all.
+ * Events by which an engine reports the prompt prefixes in its cache, and a copy of that cache built from them. Events
+ * arrive late, and some are lost.
  */
 import * as z from 'zod'
 
-const Position = { boot: z.string(), sequence: z.number().int().nonnegative() }
+const sequenceFields = { boot: z.string(), sequence: z.number().int().nonnegative() }
 
-/** A published event; `blocks` are hashes of prefix blocks, under the salt of the team that they belong to. */
+/** A published event. `blocks` are hashes of prefix blocks, which are specific to `salt`: each team has its own. */
 export const CacheEvent = z.discriminatedUnion('type', [
-  z.object({ type: z.literal('stored'), ...Position, salt: z.string(), blocks: z.array(z.string()) }),
-  z.object({ type: z.literal('removed'), ...Position, salt: z.string(), blocks: z.array(z.string()) }),
-  z.object({ type: z.literal('cleared'), ...Position })
+  z.object({ type: z.literal('stored'), ...sequenceFields, salt: z.string(), blocks: z.array(z.string()) }),
+  z.object({ type: z.literal('removed'), ...sequenceFields, salt: z.string(), blocks: z.array(z.string()) }),
+  z.object({ type: z.literal('cleared'), ...sequenceFields })
 ])
 export type CacheEvent = z.infer<typeof CacheEvent>
 
-/** What an engine's events say that it holds. After a gap nothing is known, so nothing is kept. */
+/** Mirrors an engine's prefix cache from its events. A gap in the sequence clears it, since any block may be gone. */
 export class PrefixCache {
   readonly #blocks = new Map<string, Set<string>>()
   #boot = ''
-  #next = 0
+  #nextSequence = 0
   #gaps = 0
 
   constructor (private readonly maxBlocks: number) {}
@@ -26,7 +27,7 @@
     return [...this.#blocks.values()].reduce((sum, blocks) => sum + blocks.size, 0)
   }
 
-  /** How often events were missing. */
+  /** How often the sequence of events had a gap. */
   get gaps (): number {
     return this.#gaps
   }
@@ -35,27 +36,28 @@
     return this.#blocks.get(salt)?.has(block) ?? false
   }
 
+  /** Applies an event; a repeated one is ignored. */
   take (event: CacheEvent): void {
-    if (event.boot !== this.#boot) this.#begin(event)
-    if (event.sequence < this.#next) return
-    if (event.sequence > this.#next) {
+    if (event.boot !== this.#boot) this.#reset(event)
+    if (event.sequence < this.#nextSequence) return
+    if (event.sequence > this.#nextSequence) {
       this.#gaps += 1
       this.#blocks.clear()
     }
-    this.#next = event.sequence + 1
+    this.#nextSequence = event.sequence + 1
     if (event.type === 'cleared') this.#blocks.clear()
-    else if (event.type === 'stored') this.#store(event.salt, event.blocks)
+    else if (event.type === 'stored') this.#addBlocks(event.salt, event.blocks)
     else for (const block of event.blocks) this.#blocks.get(event.salt)?.delete(block)
   }
 
-  /** Another run of the engine begins empty. */
-  #begin ({ boot, sequence }: CacheEvent): void {
+  /** The engine has restarted, so its cache is empty. */
+  #reset ({ boot, sequence }: CacheEvent): void {
     this.#boot = boot
-    this.#next = sequence
+    this.#nextSequence = sequence
     this.#blocks.clear()
   }
 
-  #store (salt: string, blocks: string[]): void {
+  #addBlocks (salt: string, blocks: string[]): void {
     if (this.size + blocks.length > this.maxBlocks) this.#blocks.clear()
     const known = this.#blocks.get(salt) ?? new Set()
     for (const block of blocks) known.add(block)
--- a/packages/backend/src/engine.ts
+++ b/packages/backend/src/engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine, as the side process beside it uses it.
+ * The interface through which a side process uses its model engine.
  */
 import type { Answer, Call } from '@finchpitch/core'
 import type { Result } from 'neverthrow'
@@ -7,21 +7,22 @@
 import type { BackendFault } from './fault.js'
 
 export interface Generation {
-  /** Names this try at the engine, for resuming and cancelling. */
+  /** Identifies this attempt at the engine, to resume or cancel it. */
   id: string
-  /** The adapter's label, as it was loaded. */
+  /** The label under which the adapter was loaded. */
   label: string
   call: Call
-  /** Lower goes first. */
+  /** Requests with lower values are scheduled first. */
   priority: number
-  /** Keeps teams from sharing cached prefixes. */
+  /** Separates the cached prefixes of teams. */
   salt: string
+  /** Fencing token of the side process. */
   fence: number
   signal: AbortSignal
 }
 
 export interface GeneratedAnswer extends Answer {
-  /** The engine run that answers; it changes when the engine restarts. */
+  /** Identifies the run of the engine that responded; it changes when the engine restarts. */
   boot: string
 }
 
@@ -29,12 +30,13 @@
   boot: string
   running: number
   waiting: number
-  /** Sequences in one batch. */
+  /** Maximum number of sequences in a batch. */
   capacity: number
+  /** Number of adapters that can be loaded at once. */
   slots: number
-  /** Labels of the adapters that it holds. */
+  /** Labels of the loaded adapters. */
   loaded: string[]
-  /** Labels with requests in progress; the report lags, so only what stays away for a while is idle. */
+  /** Labels of adapters with requests in progress. The report lags, so an adapter is idle only after being absent for a while. */
   using: string[]
 }
 
@@ -45,12 +47,12 @@
 
 export interface Engine {
   report: () => Promise<Result<EngineReport, BackendFault>>
-  /** Gives the boot that now holds the adapter. */
+  /** Returns the boot id of the engine run that has loaded the adapter. */
   load: (order: EngineOrder & { source: string }) => Promise<Result<string, BackendFault>>
   unload: (order: EngineOrder) => Promise<Result<void, BackendFault>>
-  /** Resolves `Ok` once the request surely no longer runs; one that isn't known doesn't. */
+  /** Succeeds once the request is certain not to run any more, or if the engine doesn't know its id. */
   cancel: (order: { id: string, fence: number }) => Promise<Result<void, BackendFault>>
-  /** Events until the connection ends or `signal` aborts. */
+  /** Yields events until the connection ends or `signal` aborts. */
   cacheEvents: (signal: AbortSignal) => AsyncIterable<CacheEvent>
   generate: (generation: Generation) => Promise<Result<GeneratedAnswer, BackendFault>>
 }
--- a/packages/backend/src/fault.ts
+++ b/packages/backend/src/fault.ts
@@ -1,12 +1,12 @@
 /**
- * What can go wrong with a backend server, told apart by what it proves.
+ * Errors of calls to a backend server, distinguished by what they prove about whether the request ran.
  */
 export const backendFaultTexts = {
   unreachable: 'no connection was made; nothing was sent',
   lost: 'the connection was lost after the request was sent',
   not_loaded: 'the engine does not hold the adapter',
-  fenced: 'the engine takes orders from a newer side process only',
-  busy: 'the backend server is too busy now',
+  fenced: 'the fencing token is stale: a newer side process controls the engine',
+  busy: 'the backend server is overloaded',
   refused: 'the backend server refused the order'
 } as const
 export type BackendFaultCode = keyof typeof backendFaultTexts
@@ -14,17 +14,17 @@
 export interface BackendFault {
   code: BackendFaultCode
   detail: string
-  /** The engine run that answered, where one did. */
+  /** Identifies the run of the engine that responded, if one did. */
   boot?: string
 }
 
 export const backendFault = (code: BackendFaultCode, detail: string, boot?: string): BackendFault =>
   boot === undefined ? { code, detail } : { code, detail, boot }
 
-const unsent = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
+const connectErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
-/** Only an error of making the connection proves that nothing was sent. */
+/** Only a failed connection attempt proves that nothing was sent. */
 export const faultOf = (error: unknown): BackendFault => {
   const { code, message } = error as NodeJS.ErrnoException
-  return backendFault(code !== undefined && unsent.has(code) ? 'unreachable' : 'lost', message)
+  return backendFault(code !== undefined && connectErrorCodes.has(code) ? 'unreachable' : 'lost', message)
 }
--- a/packages/backend/src/http-engine.ts
+++ b/packages/backend/src/http-engine.ts
@@ -1,8 +1,9 @@
 /**
- * An engine over the OpenAI-style HTTP shape that engines publish, with adapter orders beside it.
+ * Client of an engine with an OpenAI-compatible HTTP API and additional calls to load and unload adapters.
  *
- * Streams are server-sent events. The engine numbers them (`id`), so a stream whose connection is cut goes on from
- * the last whole event (`Last-Event-ID`) at the same engine run. It is whole only once `[DONE]` has come.
+ * Responses are streamed as server-sent events. The engine numbers them (`id`), so a stream whose connection was lost is
+ * resumed after the last complete event (`Last-Event-ID`), provided that the engine hasn't restarted. A stream is
+ * complete only once `[DONE]` has been received.
  */
 import { AnswerFailure, unknown } from '@finchpitch/core'
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
@@ -14,11 +15,11 @@
 import { backendFault, faultOf, type BackendFault, type BackendFaultCode } from './fault.js'
 import { endToEnd, wholeBody } from './service.js'
 
-const connections = 256
-const connectMs = 1000
-const reportMs = 1000
-const resumes = 3
-const streamEnd = '[DONE]'
+const maxConnections = 256
+const connectTimeoutMs = 1000
+const reportTimeoutMs = 1000
+const maxResumes = 3
+const endOfStream = '[DONE]'
 
 const Report = z.object({
   boot: z.string(),
@@ -30,15 +31,15 @@
   using: z.array(z.string())
 })
 
-/** Statuses by which an engine says that it has not run the request. */
-const refusals: Record<number, BackendFaultCode> = { 404: 'not_loaded', 412: 'fenced', 429: 'busy', 503: 'busy' }
+/** Statuses that mean that the engine has not run the request. */
+const refusalCodes: Record<number, BackendFaultCode> = { 404: 'not_loaded', 412: 'fenced', 429: 'busy', 503: 'busy' }
 
 const bootOf = (reply: Dispatcher.ResponseData): string => String(reply.headers['x-engine-boot'] ?? '')
 
-const isStream = (reply: Dispatcher.ResponseData): boolean =>
+const isEventStream = (reply: Dispatcher.ResponseData): boolean =>
   String(reply.headers['content-type'] ?? '').startsWith('text/event-stream')
 
-const bodyFor = ({ call, label, priority, salt }: Generation): string => {
+const requestBody = ({ call, label, priority, salt }: Generation): string => {
   const body = JSON.parse(Buffer.from(call.body).toString()) as Record<string, unknown>
   return JSON.stringify({ ...body, model: label, priority, cache_salt: salt })
 }
@@ -50,12 +51,12 @@
   readonly #pool: Pool
 
   constructor (origin: string) {
-    this.#pool = new Pool(origin, { connections, connectTimeout: connectMs, headersTimeout: 0, bodyTimeout: 0 })
+    this.#pool = new Pool(origin, { connections: maxConnections, connectTimeout: connectTimeoutMs, headersTimeout: 0, bodyTimeout: 0 })
   }
 
   async report (): Promise<Result<EngineReport, BackendFault>> {
     try {
-      const reply = await this.#pool.request({ method: 'GET', path: '/load', headersTimeout: reportMs, bodyTimeout: reportMs })
+      const reply = await this.#pool.request({ method: 'GET', path: '/load', headersTimeout: reportTimeoutMs, bodyTimeout: reportTimeoutMs })
       const report = Report.safeParse(await reply.body.json())
       return report.success ? ok(report.data) : err(backendFault('refused', 'the load report is not valid'))
     } catch (error) {
@@ -64,17 +65,17 @@
   }
 
   async load ({ label, fence, source }: EngineOrder & { source: string }): Promise<Result<string, BackendFault>> {
-    const reply = await this.#order('/v1/load_lora_adapter', fence, { lora_name: label, lora_path: source })
+    const reply = await this.#sendOrder('/v1/load_lora_adapter', fence, { lora_name: label, lora_path: source })
     return reply.map(bootOf)
   }
 
   async unload ({ label, fence }: EngineOrder): Promise<Result<void, BackendFault>> {
-    const reply = await this.#order('/v1/unload_lora_adapter', fence, { lora_name: label })
+    const reply = await this.#sendOrder('/v1/unload_lora_adapter', fence, { lora_name: label })
     return reply.map(() => undefined)
   }
 
   async cancel ({ id, fence }: { id: string, fence: number }): Promise<Result<void, BackendFault>> {
-    const reply = await this.#order('/v1/cancel', fence, { request_id: id })
+    const reply = await this.#sendOrder('/v1/cancel', fence, { request_id: id })
     return reply.map(() => undefined)
   }
 
@@ -85,22 +86,22 @@
         await reply.body.dump()
         return
       }
-      for await (const { data } of events(reply.body)) {
+      for await (const { data } of parseEvents(reply.body)) {
         const event = CacheEvent.safeParse(JSON.parse(data))
         if (event.success) yield event.data
       }
     } catch {
-      // The stream has ended; whoever reads it opens another, and the sequence shows what was missed.
+      // The stream has ended. The caller opens another one, and a gap in the sequence reveals missed events.
     }
   }
 
   async generate (generation: Generation): Promise<Result<GeneratedAnswer, BackendFault>> {
     try {
-      const reply = await this.#send(generation)
+      const reply = await this.#post(generation)
       const boot = bootOf(reply)
-      const refusal = refusals[reply.statusCode]
+      const refusal = refusalCodes[reply.statusCode]
       if (refusal !== undefined) return err(backendFault(refusal, await reply.body.text(), boot))
-      const body = isStream(reply) ? this.#resumed(generation, reply, boot) : wholeBody(reply.body)
+      const body = isEventStream(reply) ? this.#resumableEvents(generation, reply, boot) : wholeBody(reply.body)
       return ok({ status: reply.statusCode, headers: endToEnd(reply.headers), boot, body })
     } catch (error) {
       return err(faultOf(error))
@@ -111,41 +112,41 @@
     await this.#pool.destroy()
   }
 
-  #send (generation: Generation, lastEvent?: string): Promise<Dispatcher.ResponseData> {
+  #post (generation: Generation, lastEventId?: string): Promise<Dispatcher.ResponseData> {
     const { call, id, fence, signal } = generation
     const headers = {
       'content-type': 'application/json',
       'x-request-id': id,
       'x-fence': String(fence),
-      ...(lastEvent === undefined ? {} : { 'last-event-id': lastEvent })
+      ...(lastEventId === undefined ? {} : { 'last-event-id': lastEventId })
     }
-    return this.#pool.request({ method: 'POST', path: call.path, headers, body: bodyFor(generation), signal })
+    return this.#pool.request({ method: 'POST', path: call.path, headers, body: requestBody(generation), signal })
   }
 
-  /** Whole events from the engine, over as many connections as it takes. */
-  async * #resumed (generation: Generation, first: Dispatcher.ResponseData, boot: string): AsyncGenerator<Uint8Array> {
-    let lastEvent: string | undefined
+  /** Yields complete events. When a connection is lost, resumes the stream on another one, up to `maxResumes` times. */
+  async * #resumableEvents (generation: Generation, first: Dispatcher.ResponseData, boot: string): AsyncGenerator<Uint8Array> {
+    let lastEventId: string | undefined
     let cause = 'the stream ended early'
-    for (let tries = 0, reply: Dispatcher.ResponseData | undefined = first; reply !== undefined; tries++) {
+    for (let attempts = 0, reply: Dispatcher.ResponseData | undefined = first; reply !== undefined; attempts++) {
       try {
-        for await (const event of events(reply.body)) {
-          if (event.id !== undefined) lastEvent = event.id
+        for await (const event of parseEvents(reply.body)) {
+          if (event.id !== undefined) lastEventId = event.id
           yield formatEvent(event)
-          if (event.data === streamEnd) return
+          if (event.data === endOfStream) return
         }
       } catch (error) {
         cause = (error as Error).message
       }
-      reply = generation.signal.aborted || tries >= resumes ? undefined : await this.#resume(generation, lastEvent, boot)
+      reply = generation.signal.aborted || attempts >= maxResumes ? undefined : await this.#resume(generation, lastEventId, boot)
     }
     throw new AnswerFailure(unknown('answer_cut', { detail: cause }))
   }
 
-  async #resume (generation: Generation, lastEvent: string | undefined, boot: string): Promise<Dispatcher.ResponseData | undefined> {
-    if (lastEvent === undefined) return undefined
+  async #resume (generation: Generation, lastEventId: string | undefined, boot: string): Promise<Dispatcher.ResponseData | undefined> {
+    if (lastEventId === undefined) return undefined
     try {
-      const reply = await this.#send(generation, lastEvent)
-      if (reply.statusCode === 200 && isStream(reply) && bootOf(reply) === boot) return reply
+      const reply = await this.#post(generation, lastEventId)
+      if (reply.statusCode === 200 && isEventStream(reply) && bootOf(reply) === boot) return reply
       await reply.body.dump()
       return undefined
     } catch {
@@ -153,25 +154,25 @@
     }
   }
 
-  async #order (path: string, fence: number, order: Record<string, string>): Promise<Result<Dispatcher.ResponseData, BackendFault>> {
+  async #sendOrder (path: string, fence: number, order: Record<string, string>): Promise<Result<Dispatcher.ResponseData, BackendFault>> {
     try {
       const headers = { 'content-type': 'application/json', 'x-fence': String(fence) }
       const reply = await this.#pool.request({ method: 'POST', path, headers, body: JSON.stringify(order) })
       const text = await reply.body.text()
       if (reply.statusCode < 300) return ok(reply)
-      return err(backendFault(refusals[reply.statusCode] ?? 'refused', text, bootOf(reply)))
+      return err(backendFault(refusalCodes[reply.statusCode] ?? 'refused', text, bootOf(reply)))
     } catch (error) {
       return err(faultOf(error))
     }
   }
 }
 
-async function * events (body: AsyncIterable<Uint8Array>): AsyncGenerator<EventSourceMessage> {
-  const ready: EventSourceMessage[] = []
-  const parser = createParser({ onEvent: event => ready.push(event) })
-  const text = new TextDecoder()
-  for await (const piece of body) {
-    parser.feed(text.decode(piece, { stream: true }))
-    yield * ready.splice(0)
+async function * parseEvents (body: AsyncIterable<Uint8Array>): AsyncGenerator<EventSourceMessage> {
+  const parsed: EventSourceMessage[] = []
+  const parser = createParser({ onEvent: event => parsed.push(event) })
+  const decoder = new TextDecoder()
+  for await (const chunk of body) {
+    parser.feed(decoder.decode(chunk, { stream: true }))
+    yield * parsed.splice(0)
   }
 }
--- a/packages/backend/src/index.ts
+++ b/packages/backend/src/index.ts
@@ -1,4 +1,4 @@
-/** Peer: backend servers, which are model engines and plain services. */
+/** Clients of backend servers: model engines and other HTTP services. */
 export * from './fault.js'
 export * from './cache-event.js'
 export * from './engine.js'
--- a/packages/backend/src/service.ts
+++ b/packages/backend/src/service.ts
@@ -1,13 +1,13 @@
 /**
- * A plain service, as the side process beside it uses it.
+ * Client through which a side process uses an HTTP service that is not a model engine.
  */
 import { AnswerFailure, unknown, type Answer, type Call, type Headers } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
 import { Pool } from 'undici'
 import { faultOf, type BackendFault } from './fault.js'
 
-const connections = 64
-const connectMs = 1000
+const maxConnections = 64
+const connectTimeoutMs = 1000
 
 export interface ServiceCall {
   call: Call
@@ -15,20 +15,21 @@
   signal: AbortSignal
 }
 
+/** An HTTP service that is not a model engine. Requests are forwarded to it unchanged, except for some headers. */
 export interface PlainService {
   call: (call: ServiceCall) => Promise<Result<Answer, BackendFault>>
 }
 
-/** Headers that belong to one connection and never travel on. */
-const hopHeaders = new Set(['connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer',
+/** Headers that are never forwarded: hop-by-hop headers, headers that each hop sets itself, and credentials. */
+const unforwardedHeaders = new Set(['connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer',
   'transfer-encoding', 'upgrade', 'host', 'content-length', 'expect', 'authorization'])
 
 export const endToEnd = (headers: Record<string, string | string[] | undefined>): Headers =>
   Object.fromEntries(Object.entries(headers)
-    .filter((entry): entry is [string, string | string[]] => entry[1] !== undefined && !hopHeaders.has(entry[0].toLowerCase()))
+    .filter((entry): entry is [string, string | string[]] => entry[1] !== undefined && !unforwardedHeaders.has(entry[0].toLowerCase()))
     .map(([name, value]) => [name.toLowerCase(), Array.isArray(value) ? value.join(', ') : value]))
 
-/** A body that ends in a failure of its own when the connection is cut before its end. */
+/** Passes a body through. If its connection is lost before its end, throws an error that says that it is truncated. */
 export async function * wholeBody (body: AsyncIterable<Uint8Array>): AsyncGenerator<Uint8Array> {
   try {
     yield * body
@@ -41,7 +42,7 @@
   readonly #pool: Pool
 
   constructor (origin: string) {
-    this.#pool = new Pool(origin, { connections, connectTimeout: connectMs, headersTimeout: 0, bodyTimeout: 0 })
+    this.#pool = new Pool(origin, { connections: maxConnections, connectTimeout: connectTimeoutMs, headersTimeout: 0, bodyTimeout: 0 })
   }
 
   async call ({ call, fence, signal }: ServiceCall): Promise<Result<Answer, BackendFault>> {
--- a/packages/backend/test/prefix-cache.test.ts
+++ b/packages/backend/test/prefix-cache.test.ts
@@ -12,27 +12,27 @@
     cache.take(stored(0, 'a'))
   })
 
-  it('knows a block under its own team only', () => {
+  it('finds a block only with the salt of its team', () => {
     expect([cache.holds('quetzal', 'a'), cache.holds('fjordtavle', 'a')]).to.deep.equal([true, false])
   })
 
-  it('takes a repeated event once, and a removal', () => {
+  it('applies a removal and ignores a repeated event', () => {
     cache.take({ type: 'removed', boot: 'one', sequence: 1, salt: 'quetzal', blocks: ['a'] })
     cache.take(stored(0, 'a'))
     expect([cache.size, cache.gaps]).to.deep.equal([0, 0])
   })
 
-  it('believes nothing from before a gap', () => {
+  it('drops all blocks from before a gap', () => {
     cache.take(stored(2, 'c'))
     expect([cache.holds('quetzal', 'a'), cache.holds('quetzal', 'c'), cache.gaps]).to.deep.equal([false, true, 1])
   })
 
-  it('begins empty with another run of the engine', () => {
+  it('is cleared when the engine restarts', () => {
     cache.take(stored(7, 'b', 'quetzal', 'two'))
     expect([cache.holds('quetzal', 'a'), cache.size, cache.gaps]).to.deep.equal([false, 1, 0])
   })
 
-  it('is bounded', () => {
+  it('limits the number of blocks', () => {
     for (let sequence = 1; sequence < 10; sequence++) cache.take(stored(sequence, `b${sequence}`))
     expect(cache.size).to.be.at.most(3)
   })
--- a/packages/callers/src/ask.ts
+++ b/packages/callers/src/ask.ts
@@ -1,6 +1,5 @@
 /**
- * An ask: what a caller wants, read from its HTTP request and checked as far as that goes without the
- * configuration.
+ * Parses a caller's HTTP request, and validates all of it that can be validated without the configuration.
  */
 import { AdapterName, RequestKey, ServiceName, TeamName, WorkClass, findingsOf, finding, notRun, type Call, type Failure, type Finding, type RequestId } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
@@ -13,9 +12,10 @@
   | { kind: 'adapter', team: TeamName, adapter: AdapterName, version: string | undefined }
   | { kind: 'service', service: ServiceName }
 
+/** The idempotency key of a request that may run at most once. */
 export interface Once {
   key: RequestKey
-  /** The caller says that it has never asked with this key before. */
+  /** The caller states that it has not sent a request with this key before. */
   firstTry: boolean
 }
 
@@ -25,10 +25,11 @@
   target: AskedTarget
   call: Call
   class: WorkClass
+  /** How long the caller is willing to wait. */
   patienceMs: number
-  /** Present on requests that may run at most once. */
+  /** Set on requests that may run at most once. */
   once: Once | undefined
-  /** Whether the request may be sent again after it may have run. */
+  /** Whether the request may be retried even if it may have run already. */
   repeatable: boolean
 }
 
@@ -40,7 +41,7 @@
 export interface RawAsk {
   id: RequestId
   method: string
-  /** With the query. */
+  /** Including the query. */
   path: string
   headers: Record<string, string | string[] | undefined>
   body: Buffer
@@ -48,7 +49,7 @@
 
 const yesNo = z.enum(['yes', 'no'])
 
-const AskHeaders = z.object({
+const RequestHeaders = z.object({
   authorization: z.string().regex(/^Bearer \S+$/i, 'expected "Bearer" and a token').optional(),
   'idempotency-key': RequestKey.optional(),
   'finchpitch-repeatable': yesNo.optional(),
@@ -56,7 +57,7 @@
   'finchpitch-class': WorkClass.default('caller'),
   'finchpitch-patience-ms': z.coerce.number().int().positive().max(maxPatienceMs).default(defaultPatienceMs)
 })
-type AskHeaders = z.infer<typeof AskHeaders>
+type RequestHeaders = z.infer<typeof RequestHeaders>
 
 const modelPattern = /^([^/@:]+)\/([^/@:]+)(?:[@:](.+))?$/
 
@@ -69,46 +70,46 @@
 })
 
 const Message = z.looseObject({ role: z.string() })
-const Common = { model: ModelField, stream: z.boolean().optional(), max_tokens: z.number().int().positive().optional() }
-const ChatBody = z.looseObject({ ...Common, messages: z.array(Message).min(1) })
-const CompletionBody = z.looseObject({ ...Common, prompt: z.union([z.string(), z.array(z.string()).min(1)]) })
+const commonFields = { model: ModelField, stream: z.boolean().optional(), max_tokens: z.number().int().positive().optional() }
+const ChatBody = z.looseObject({ ...commonFields, messages: z.array(Message).min(1) })
+const CompletionBody = z.looseObject({ ...commonFields, prompt: z.union([z.string(), z.array(z.string()).min(1)]) })
 
-const reject = (code: Failure['code'], findings: Finding[]): Rejection =>
+const rejection = (code: Failure['code'], findings: Finding[]): Rejection =>
   ({ failure: notRun(code, { detail: findings.map(each => `${each.path}: ${each.message}`).join('; ') }), findings })
 
-type TargetReader = (raw: RawAsk) => Result<AskedTarget, Rejection>
+type TargetParser = (raw: RawAsk) => Result<AskedTarget, Rejection>
 
 const readJson = (body: Buffer): Result<unknown, Rejection> => {
   try {
     return ok(JSON.parse(body.toString()))
   } catch (error) {
-    return err(reject('invalid_body', [finding('invalid_syntax', 'body', (error as Error).message)]))
+    return err(rejection('invalid_body', [finding('invalid_syntax', 'body', (error as Error).message)]))
   }
 }
 
-const fromBody = (schema: typeof ChatBody | typeof CompletionBody): TargetReader => raw =>
+const targetFromBody = (schema: typeof ChatBody | typeof CompletionBody): TargetParser => raw =>
   readJson(raw.body).andThen((json): Result<AskedTarget, Rejection> => {
     const parsed = schema.safeParse(json)
-    return parsed.success ? ok(parsed.data.model) : err(reject('invalid_body', findingsOf(parsed.error, 'body')))
+    return parsed.success ? ok(parsed.data.model) : err(rejection('invalid_body', findingsOf(parsed.error, 'body')))
   })
 
 const servicePattern = /^\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/
 
-const fromServicePath: TargetReader = ({ path }) => {
+const targetFromPath: TargetParser = ({ path }) => {
   const name = ServiceName.safeParse(servicePattern.exec(path)?.[1])
-  return name.success ? ok({ kind: 'service', service: name.data }) : err(reject('unknown_service', findingsOf(name.error, 'path')))
+  return name.success ? ok({ kind: 'service', service: name.data }) : err(rejection('unknown_service', findingsOf(name.error, 'path')))
 }
 
-/** Where each kind of path names its target. */
+/** Reads the target of a request, for each kind of endpoint. */
 export const targetReaders = {
-  chat: fromBody(ChatBody),
-  completion: fromBody(CompletionBody),
-  service: fromServicePath
-} satisfies Record<string, TargetReader>
+  chat: targetFromBody(ChatBody),
+  completion: targetFromBody(CompletionBody),
+  service: targetFromPath
+} satisfies Record<string, TargetParser>
 export type AskKind = keyof typeof targetReaders
 
-/** The path that the backend server sees. */
-const innerPath = (kind: AskKind, path: string): string => {
+/** The path that is sent to the backend server. */
+const backendPath = (kind: AskKind, path: string): string => {
   if (kind !== 'service') return path.split('?')[0] ?? path
   const [, , rest, query] = servicePattern.exec(path) ?? []
   return `${rest ?? '/'}${query ?? ''}`
@@ -116,35 +117,35 @@
 
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS'])
 
-const mayRepeat = (kind: AskKind, method: string, headers: AskHeaders): boolean => {
+const isRepeatable = (kind: AskKind, method: string, headers: RequestHeaders): boolean => {
   if (headers['idempotency-key'] !== undefined) return false
   if (headers['finchpitch-repeatable'] !== undefined) return headers['finchpitch-repeatable'] === 'yes'
   return kind !== 'service' || safeMethods.has(method)
 }
 
-const ownHeader = /^(finchpitch-|idempotency-key$|authorization$)/
+const reservedHeader = /^(finchpitch-|idempotency-key$|authorization$)/
 
-const onward = (headers: RawAsk['headers']): Record<string, string> =>
+const forwardedHeaders = (headers: RawAsk['headers']): Record<string, string> =>
   Object.fromEntries(Object.entries(headers)
-    .filter((entry): entry is [string, string | string[]] => entry[1] !== undefined && !ownHeader.test(entry[0]))
+    .filter((entry): entry is [string, string | string[]] => entry[1] !== undefined && !reservedHeader.test(entry[0]))
     .map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : value]))
 
 export const readAsk = (kind: AskKind, raw: RawAsk): Result<Ask, Rejection> => {
-  const parsed = AskHeaders.safeParse(raw.headers)
-  if (!parsed.success) return err(reject('invalid_header', findingsOf(parsed.error, 'headers')))
+  const parsed = RequestHeaders.safeParse(raw.headers)
+  if (!parsed.success) return err(rejection('invalid_header', findingsOf(parsed.error, 'headers')))
   const headers = parsed.data
   const key = headers['idempotency-key']
   if (headers['finchpitch-repeatable'] === 'no' && key === undefined) {
-    return err(reject('key_required', [finding('conflicting_settings', 'headers.idempotency-key', 'required with finchpitch-repeatable: no')]))
+    return err(rejection('key_required', [finding('conflicting_settings', 'headers.idempotency-key', 'required with finchpitch-repeatable: no')]))
   }
   return targetReaders[kind](raw).map(target => ({
     id: raw.id,
     token: headers.authorization?.replace(/^Bearer /i, ''),
     target,
-    call: { method: raw.method, path: innerPath(kind, raw.path), headers: onward(raw.headers), body: raw.body },
+    call: { method: raw.method, path: backendPath(kind, raw.path), headers: forwardedHeaders(raw.headers), body: raw.body },
     class: headers['finchpitch-class'],
     patienceMs: headers['finchpitch-patience-ms'],
     once: key === undefined ? undefined : { key, firstTry: headers['finchpitch-first-try'] === 'yes' },
-    repeatable: mayRepeat(kind, raw.method, headers)
+    repeatable: isRepeatable(kind, raw.method, headers)
   }))
 }
--- a/packages/callers/src/index.ts
+++ b/packages/callers/src/index.ts
@@ -1,3 +1,3 @@
-/** Peer: callers, over HTTP in the shapes that LLM clients send, and plain calls to services. */
+/** The HTTP API for callers: OpenAI-compatible completions and calls to services. */
 export * from './ask.js'
 export * from './routes.js'
--- a/packages/callers/src/routes.ts
+++ b/packages/callers/src/routes.ts
@@ -1,19 +1,20 @@
 /**
- * The callers' routes: each request is read, handed to `serve`, and its answer written at the caller's pace.
+ * The routes of the callers' API. Each request is parsed and passed to `serve`, and the response is streamed back with
+ * backpressure.
  */
 import { newRequestId, untried, type Answer, type Failure, type Log } from '@finchpitch/core'
 import { readBody, sendAnswer, sendFailure, type Exchange, type RouteHandler, type Routes } from '@finchpitch/http'
 import type { Result } from 'neverthrow'
 import { readAsk, type Ask, type AskKind } from './ask.js'
 
-/** Serves one ask; `signal` aborts when the caller hangs up. */
-export type Serve = (ask: Ask, signal: AbortSignal) => Promise<Result<Answer, Failure>>
+/** Handles one request; `signal` aborts when the caller disconnects. */
+export type Serve = (request: Ask, signal: AbortSignal) => Promise<Result<Answer, Failure>>
 
 export interface CallerOptions {
   serve: Serve
   log: Log
-  /** Told of every request's end. */
-  observe: (ask: Ask, end: RequestEnd) => void
+  /** Called at the end of every request. */
+  observe: (request: Ask, end: RequestEnd) => void
 }
 
 export interface RequestEnd {
@@ -22,63 +23,66 @@
   durationMs: number
 }
 
-/** Without having been looked at, a request that carries a key may have run in an earlier try. */
-const rejectedOutcome = (failure: Failure, exchange: Exchange): Failure => {
+/**
+ * The key of a rejected request has not been looked up, so an earlier attempt with it may have run, unless the caller
+ * states that this is the first.
+ */
+const withRejectionOutcome = (failure: Failure, exchange: Exchange): Failure => {
   const { headers } = exchange.request
-  const retried = headers['idempotency-key'] !== undefined && headers['finchpitch-first-try'] !== 'yes'
-  return retried ? untried(failure) : failure
+  const mayBeRetry = headers['idempotency-key'] !== undefined && headers['finchpitch-first-try'] !== 'yes'
+  return mayBeRetry ? untried(failure) : failure
 }
 
-/** The ask, or `undefined` after its rejection has been sent. */
-const receive = async (kind: AskKind, exchange: Exchange): Promise<Ask | undefined> => {
+/** Returns the parsed request, or `undefined` after an error response has been sent. */
+const receiveRequest = async (kind: AskKind, exchange: Exchange): Promise<Ask | undefined> => {
   const { request, response } = exchange
   const id = newRequestId()
   const body = await readBody(request)
   if (body.isErr()) {
     response.once('finish', () => request.destroy())
-    sendFailure(response, rejectedOutcome(body.error, exchange), id)
+    sendFailure(response, withRejectionOutcome(body.error, exchange), id)
     return undefined
   }
   const raw = { id, method: request.method ?? 'GET', path: pathOf(exchange), headers: request.headers, body: body.value }
-  const ask = readAsk(kind, raw)
-  if (ask.isOk()) return ask.value
-  sendFailure(response, rejectedOutcome(ask.error.failure, exchange), id, ask.error.findings)
+  const parsed = readAsk(kind, raw)
+  if (parsed.isOk()) return parsed.value
+  sendFailure(response, withRejectionOutcome(parsed.error.failure, exchange), id, parsed.error.findings)
   return undefined
 }
 
-const handle = (kind: AskKind, { serve, log, observe }: CallerOptions): RouteHandler => async exchange => {
+const handle = (kind: AskKind, { serve, log, observe: onRequestEnd }: CallerOptions): RouteHandler => async exchange => {
   const { response } = exchange
   const startedAt = performance.now()
-  const ask = await receive(kind, exchange)
-  if (ask === undefined) return
-  const hangUp = new AbortController()
+  const request = await receiveRequest(kind, exchange)
+  if (request === undefined) return
+  const disconnected = new AbortController()
   response.once('close', () => {
-    if (!response.writableFinished) hangUp.abort()
+    if (!response.writableFinished) disconnected.abort()
   })
-  const end = await deliver(exchange, ask, await serve(ask, hangUp.signal))
+  const end = await respond(exchange, request, await serve(request, disconnected.signal))
   const durationMs = performance.now() - startedAt
-  observe(ask, { ...end, durationMs })
-  log.debug('request.ended', { request: ask.id, ...end, durationMs })
+  onRequestEnd(request, { ...end, durationMs })
+  log.debug('request.ended', { request: request.id, ...end, durationMs })
 }
 
-const deliver = async ({ response }: Exchange, ask: Ask, served: Result<Answer, Failure>): Promise<Omit<RequestEnd, 'durationMs'>> => {
+const respond = async ({ response }: Exchange, request: Ask, served: Result<Answer, Failure>): Promise<Omit<RequestEnd, 'durationMs'>> => {
   if (served.isErr()) {
-    sendFailure(response, served.error, ask.id)
+    sendFailure(response, served.error, request.id)
     return { outcome: served.error.outcome, code: served.error.code }
   }
-  const delivery = await sendAnswer(response, served.value, ask.id)
-  if (delivery.kind === 'whole') return { outcome: 'ran', code: 'none' }
-  if (delivery.kind === 'hung_up') return { outcome: 'hung_up', code: 'cancelled' }
-  return { outcome: delivery.failure.outcome, code: delivery.failure.code }
+  const sent = await sendAnswer(response, served.value, request.id)
+  if (sent.kind === 'whole') return { outcome: 'ran', code: 'none' }
+  if (sent.kind === 'hung_up') return { outcome: 'hung_up', code: 'cancelled' }
+  return { outcome: sent.failure.outcome, code: sent.failure.code }
 }
 
-/** Before the path of what a ticket is for. */
-const ticketRoot = '/tickets'
-const leadingTicketRoot = /^\/tickets(?=\/)/
+/** Prefix of the path for which a ticket is requested. */
+const ticketPrefix = '/tickets'
+const leadingTicketPrefix = /^\/tickets(?=\/)/
 
-/** The path as it came, without what the gateway and the ticket routes take off. */
+/** The original path of the request, before the gateway rewrote it, without the prefix of the ticket routes. */
 const pathOf = ({ request }: Exchange): string =>
-  ((request as typeof request & { originalUrl?: string }).originalUrl ?? request.url ?? '/').replace(leadingTicketRoot, '')
+  ((request as typeof request & { originalUrl?: string }).originalUrl ?? request.url ?? '/').replace(leadingTicketPrefix, '')
 
 export const callerRoutes = (options: CallerOptions): Routes => ({
   'POST /v1/chat/completions': handle('chat', options),
@@ -87,24 +91,24 @@
 })
 
 export interface TicketOptions {
-  /** A key that names the one process which may run it. */
-  issue: (ask: Ask) => Promise<Result<string, Failure>>
+  /** Returns an idempotency key that identifies the only process that may run the request. */
+  issue: (request: Ask) => Promise<Result<string, Failure>>
 }
 
-/** Tickets are asked for on the path of what they are for, with the same body and headers. */
+/** A ticket is requested with the path, body and headers of the request that it is for. */
 export const ticketRoutes = ({ issue }: TicketOptions): Routes => {
-  const ticket = (kind: AskKind): RouteHandler => async exchange => {
+  const handleTicket = (kind: AskKind): RouteHandler => async exchange => {
     const { response } = exchange
-    const ask = await receive(kind, exchange)
-    if (ask === undefined) return
-    const issued = await issue(ask)
-    if (issued.isErr()) return sendFailure(response, issued.error, ask.id)
+    const request = await receiveRequest(kind, exchange)
+    if (request === undefined) return
+    const issued = await issue(request)
+    if (issued.isErr()) return sendFailure(response, issued.error, request.id)
     response.writeHead(201, { 'content-type': 'application/json' })
     response.end(JSON.stringify({ ticket: issued.value }))
   }
   return {
-    [`POST ${ticketRoot}/v1/chat/completions`]: ticket('chat'),
-    [`POST ${ticketRoot}/v1/completions`]: ticket('completion'),
-    [`POST ${ticketRoot}/services/:service/:path*`]: ticket('service')
+    [`POST ${ticketPrefix}/v1/chat/completions`]: handleTicket('chat'),
+    [`POST ${ticketPrefix}/v1/completions`]: handleTicket('completion'),
+    [`POST ${ticketPrefix}/services/:service/:path*`]: handleTicket('service')
   }
 }
--- a/packages/http/src/answer.ts
+++ b/packages/http/src/answer.ts
@@ -1,8 +1,8 @@
 /**
- * Writing answers: the reader's pace is kept, and an answer that can't be brought whole never looks complete.
+ * Writes HTTP responses with backpressure, and so that a truncated response is never taken for a complete one.
  *
- * Before the first byte a failure becomes an error answer. After it, an event stream ends in an error event and
- * without `[DONE]`; any other body ends in a broken connection, which HTTP clients report as such.
+ * A failure before the first byte is sent as an error response. After it, an event stream ends with an error event and
+ * without `[DONE]`; with any other body the connection is closed early, which HTTP clients report as an error.
  */
 import { once } from 'node:events'
 import type { ServerResponse } from 'node:http'
@@ -31,19 +31,19 @@
 const failureOf = (error: unknown): Failure =>
   error instanceof AnswerFailure ? error.failure : unknown('internal', { detail: (error as Error).message })
 
-/** Waits until the client has taken what was written; false when it has gone. */
-const drained = async (response: ServerResponse): Promise<boolean> => {
+/** Waits until the write buffer has drained; false if the client closed the connection. */
+const waitForDrain = async (response: ServerResponse): Promise<boolean> => {
   if (response.destroyed) return false
-  const gone = new AbortController()
-  const leave = (): void => gone.abort()
-  response.once('close', leave)
+  const closed = new AbortController()
+  const onClose = (): void => closed.abort()
+  response.once('close', onClose)
   try {
-    await once(response, 'drain', { signal: gone.signal })
+    await once(response, 'drain', { signal: closed.signal })
     return true
   } catch {
     return false
   } finally {
-    response.off('close', leave)
+    response.off('close', onClose)
   }
 }
 
@@ -51,32 +51,32 @@
 
 export const sendAnswer = async (response: ServerResponse, answer: Answer, requestId: string): Promise<Delivery> => {
   let bytes = 0
-  const start = (): void => {
+  const writeHead = (): void => {
     if (response.headersSent) return
     response.writeHead(answer.status, { ...answer.headers, [outcomeHeader]: 'ran', [requestIdHeader]: requestId })
   }
   try {
     if (isEventStream(answer)) {
-      start()
+      writeHead()
       response.flushHeaders()
     }
     for await (const chunk of answer.body) {
       if (response.destroyed) return { kind: 'hung_up' }
-      start()
+      writeHead()
       bytes += chunk.length
-      if (!response.write(chunk) && !await drained(response)) return { kind: 'hung_up' }
+      if (!response.write(chunk) && !await waitForDrain(response)) return { kind: 'hung_up' }
     }
-    start()
+    writeHead()
     response.end()
     return { kind: 'whole', bytes }
   } catch (error) {
     const failure = failureOf(error)
-    endBroken(response, answer, failure, requestId)
+    endTruncated(response, answer, failure, requestId)
     return { kind: 'failed', failure }
   }
 }
 
-const endBroken = (response: ServerResponse, answer: Answer, failure: Failure, requestId: string): void => {
+const endTruncated = (response: ServerResponse, answer: Answer, failure: Failure, requestId: string): void => {
   if (!response.headersSent) return sendFailure(response, failure, requestId)
   if (isEventStream(answer)) response.end(`event: error\ndata: ${JSON.stringify(errorBody(failure, requestId))}\n\n`)
   else response.destroy()
--- a/packages/http/src/error-body.ts
+++ b/packages/http/src/error-body.ts
@@ -1,5 +1,5 @@
 /**
- * The one JSON shape of errors, which OpenAI clients read too.
+ * The JSON format of all error responses, which OpenAI clients understand.
  */
 import { messageOf, statusOf, type Failure, type Finding, type RequestId } from '@finchpitch/core'
 
@@ -7,11 +7,11 @@
   error: {
     code: Failure['code']
     message: string
-    /** Whether the request ran: `not_run` is proved, `unknown` must be looked up. */
+    /** Whether the request ran. `not_run` is certain; after `unknown` the caller has to check whether it took effect. */
     outcome: Failure['outcome']
     request_id: string
     retry_after_ms?: number
-    /** An Idempotency-Key for the next try that needs no store. */
+    /** An Idempotency-Key with which the request can be retried while the store is unavailable. */
     ticket?: string
     findings?: Finding[]
   }
--- a/packages/http/src/gateway.ts
+++ b/packages/http/src/gateway.ts
@@ -1,8 +1,8 @@
 /**
- * A gateway: one HTTP listener on a local `moleculer` broker.
+ * An HTTP server with routes, built on a local `moleculer` broker. The broker's clustering is not used.
  *
- * Routes are handlers in a table from "METHOD /path" to a function. Bodies are left to the handlers, since answers
- * and plain services' bodies are passed on as they are. The broker's own clustering is unused.
+ * Routes map "METHOD /path" to a handler. Handlers read the bodies themselves, since those of requests and responses are
+ * forwarded unparsed.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -14,7 +14,7 @@
 export interface Exchange {
   request: IncomingMessage
   response: ServerResponse
-  /** The path's named parts. */
+  /** Values of the path parameters. */
   params: Record<string, string>
 }
 
@@ -34,7 +34,7 @@
   tls?: TlsFiles
 }
 
-const idleSweepMs = 50
+const closeIdleIntervalMs = 50
 
 interface RoutedRequest extends IncomingMessage {
   $params: Record<string, string>
@@ -42,7 +42,7 @@
 
 type Alias = (request: RoutedRequest, response: ServerResponse) => Promise<void>
 
-const toAlias = (handler: RouteHandler): Alias => async (request, response) => {
+const aliasFor = (handler: RouteHandler): Alias => async (request, response) => {
   try {
     await handler({ request, response, params: request.$params })
   } catch (error) {
@@ -65,10 +65,10 @@
       nodeID: options.name,
       logger: false,
       transporter: null,
-      // The broker would end the process on SIGTERM, with every request in progress.
+      // Otherwise the broker exits the process on SIGTERM, which aborts all requests in progress.
       skipProcessEventRegistration: true
     })
-    const aliases = Object.fromEntries(Object.entries(options.routes).map(([path, handler]) => [path, toAlias(handler)]))
+    const aliases = Object.fromEntries(Object.entries(options.routes).map(([path, handler]) => [path, aliasFor(handler)]))
     const schema = {
       name: options.name,
       mixins: [ApiGateway],
@@ -92,18 +92,18 @@
     await this.#broker.start()
   }
 
-  /** The port that it listens on, also when the system chose it. */
+  /** The port that the server listens on, also if the operating system assigned it. */
   get port (): number {
     return (this.#server.address() as AddressInfo).port
   }
 
-  /** Takes no more connections and waits for the requests in progress. */
+  /** Stops accepting connections and waits for the requests in progress. */
   async drain (): Promise<void> {
     const server = this.#server
-    // A connection that is kept alive falls idle only when its request has ended.
-    const sweep = setInterval(() => server.closeIdleConnections(), idleSweepMs)
+    // Kept-alive connections become idle one by one as their requests end, so idle ones are closed repeatedly.
+    const timer = setInterval(() => server.closeIdleConnections(), closeIdleIntervalMs)
     await new Promise<void>(resolve => server.close(() => resolve()))
-    clearInterval(sweep)
+    clearInterval(timer)
   }
 
   async stop (): Promise<void> {
--- a/packages/http/src/index.ts
+++ b/packages/http/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP surfaces: the gateway, bounded bodies, the one error shape, streamed answers. */
+/** HTTP server parts: routes, size-limited request bodies, error responses and streamed responses. */
 export * from './error-body.js'
 export * from './body.js'
 export * from './answer.js'
--- a/packages/operators/src/client.ts
+++ b/packages/operators/src/client.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' client: typed calls to an entry's API.
+ * Typed client of the operator API of an entry.
  */
 import { err, ok, type Result } from 'neverthrow'
 import { request } from 'undici'
@@ -7,7 +7,7 @@
 import { ApplyReply, ConfigurationReply, ErrorReply, HistoryReply, LogLevelBody, StatusReply, type ApplyBody } from './protocol.js'
 
 export interface ClientOptions {
-  /** `http://host:port` of an entry's operator listener. */
+  /** `http://host:port` of an entry's operator API. */
   origin: string
   token: string
 }
@@ -56,6 +56,6 @@
     if (parsed.success) return ok(parsed.data)
     const refused = ErrorReply.safeParse(json)
     if (refused.success) return err({ code: 'refused', message: refused.data.error.message })
-    return err({ code: 'not_understood', message: `${origin}${path} gave an answer of another version` })
+    return err({ code: 'not_understood', message: `${origin}${path} sent a response in an unknown format; its version may differ` })
   }
 }
--- a/packages/operators/src/index.ts
+++ b/packages/operators/src/index.ts
@@ -1,4 +1,4 @@
-/** Peer: operators, over HTTP with JSON, and the client that their command line uses. */
+/** The HTTP API for operators, and its client, which the command line uses. */
 export * from './protocol.js'
 export * from './routes.js'
 export * from './client.js'
--- a/packages/operators/src/protocol.ts
+++ b/packages/operators/src/protocol.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' protocol: shapes that both the entry's API and the command line use.
+ * Schemas of the operator API, shared by the entry and the command line.
  */
 import { Configuration, Failure, ProcessId, Revision, FailureDomain } from '@finchpitch/core'
 import { Change } from '@finchpitch/store'
@@ -7,7 +7,7 @@
 
 export const ApplyBody = z.strictObject({
   configuration: z.unknown(),
-  /** The revision that the operator looked at. */
+  /** The revision that the change is based on. */
   base: Revision,
   actor: z.string().min(1).max(200),
   note: z.string().max(1000).default('')
@@ -19,7 +19,7 @@
   z.object({ kind: z.literal('unchanged'), revision: Revision }),
   z.object({ kind: z.literal('conflict'), revision: Revision, changes: z.array(Change) }),
   z.object({ kind: z.literal('invalid'), findings: z.array(z.object({ code: z.string(), path: z.string(), message: z.string() })) }),
-  /** It may have been accepted: the history tells. */
+  /** The change may have been applied; the history shows whether it was. */
   z.object({ kind: z.literal('unsettled'), detail: z.string() }),
   z.object({ kind: z.literal('unavailable'), detail: z.string() })
 ])
@@ -36,7 +36,7 @@
   role: z.enum(['entry', 'side']),
   domain: FailureDomain,
   serving: z.string().optional(),
-  /** `undefined` where this entry has no channel to the process. */
+  /** `undefined` if this entry has no connection to the process. */
   revision: Revision.optional(),
   leaving: z.boolean(),
   waiting: z.number().optional(),
--- a/packages/operators/src/routes.ts
+++ b/packages/operators/src/routes.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' routes on an entry, and the health and metrics routes of every process.
+ * The routes of the operator API of an entry, and the health, metrics and log level routes of every process.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { timingSafeEqual } from 'node:crypto'
@@ -10,7 +10,7 @@
 import type { z } from 'zod'
 import { ApplyBody, LogLevelBody, type ApplyReply, type ConfigurationReply, type HistoryReply, type StatusReply } from './protocol.js'
 
-/** A configuration of 52,000 adapters is some ten megabytes. */
+/** Ample for a configuration of 52,000 adapters, which takes about 10 MB. */
 const maxApplyBytes = 64 * 1024 * 1024
 
 export interface Operations {
@@ -21,14 +21,14 @@
 }
 
 export interface ProcessOperations {
-  /** What stands in the way of taking work; `undefined` when ready. */
+  /** Why the process is not ready to serve requests; `undefined` if it is. */
   unready: () => string | undefined
   metrics: () => Promise<string>
   setLogLevel: (level: LogLevel) => void
 }
 
 export interface OperatorAccess {
-  /** SHA-256 of the operators' bearer token, in hex. */
+  /** Hexadecimal SHA-256 hash of the bearer token of operators. */
   tokenHash: string
 }
 
@@ -42,14 +42,14 @@
   response.end(text)
 }
 
-const mayOperate = (request: IncomingMessage, { tokenHash }: OperatorAccess): boolean => {
+const isAuthorized = (request: IncomingMessage, { tokenHash }: OperatorAccess): boolean => {
   const token = /^Bearer (\S+)$/i.exec(request.headers.authorization ?? '')?.[1]
   if (token === undefined) return false
   return timingSafeEqual(Buffer.from(hashOfToken(token)), Buffer.from(tokenHash))
 }
 
-const guarded = (access: OperatorAccess, handler: RouteHandler): RouteHandler => async exchange => {
-  if (mayOperate(exchange.request, access)) return await handler(exchange)
+const requireOperator = (access: OperatorAccess, handler: RouteHandler): RouteHandler => async exchange => {
+  if (isAuthorized(exchange.request, access)) return await handler(exchange)
   exchange.request.resume()
   sendFailure(exchange.response, notRun('unauthenticated'), newRequestId())
 }
@@ -62,7 +62,7 @@
   }
 }
 
-/** The body by its schema, or `undefined` after the refusal has been sent. */
+/** Returns the parsed body, or `undefined` after an error response has been sent. */
 const readJson = async <S extends z.ZodType>({ request, response }: Exchange, schema: S): Promise<z.infer<S> | undefined> => {
   const body = await readBody(request, maxApplyBytes)
   const json = body.andThen(parseJson)
@@ -77,33 +77,33 @@
   return undefined
 }
 
-const applyStatus: Record<ApplyReply['kind'], number> = {
+const applyStatusCodes: Record<ApplyReply['kind'], number> = {
   applied: 200, unchanged: 200, conflict: 409, invalid: 422, unsettled: 504, unavailable: 503
 }
 
 export const operatorRoutes = (operations: Operations, access: OperatorAccess): Routes => {
-  const answer = (read: () => unknown): RouteHandler => guarded(access, async ({ response }) => sendJson(response, 200, read()))
+  const replyWith = (read: () => unknown): RouteHandler => requireOperator(access, async ({ response }) => sendJson(response, 200, read()))
   return {
-    'POST /operator/v1/apply': guarded(access, async exchange => {
+    'POST /operator/v1/apply': requireOperator(access, async exchange => {
       const body = await readJson(exchange, ApplyBody)
       if (body === undefined) return
       const reply = await operations.apply(body)
-      sendJson(exchange.response, applyStatus[reply.kind], reply)
+      sendJson(exchange.response, applyStatusCodes[reply.kind], reply)
     }),
-    'GET /operator/v1/configuration': answer(() => operations.configuration()),
-    'GET /operator/v1/history': answer(() => operations.history()),
-    'GET /operator/v1/status': answer(() => operations.status())
+    'GET /operator/v1/configuration': replyWith(() => operations.configuration()),
+    'GET /operator/v1/history': replyWith(() => operations.history()),
+    'GET /operator/v1/status': replyWith(() => operations.status())
   }
 }
 
-export const processRoutes = ({ unready, metrics, setLogLevel }: ProcessOperations, access: OperatorAccess): Routes => ({
+export const processRoutes = ({ unready: notReadyReason, metrics, setLogLevel }: ProcessOperations, access: OperatorAccess): Routes => ({
   'GET /healthz': async ({ response }) => sendText(response, 200, 'ok\n'),
   'GET /readyz': async ({ response }) => {
-    const reason = unready()
+    const reason = notReadyReason()
     sendText(response, reason === undefined ? 200 : 503, reason === undefined ? 'ready\n' : `${reason}\n`)
   },
   'GET /metrics': async ({ response }) => sendText(response, 200, await metrics()),
-  'PUT /operator/v1/log-level': guarded(access, async exchange => {
+  'PUT /operator/v1/log-level': requireOperator(access, async exchange => {
     const body = await readJson(exchange, LogLevelBody)
     if (body === undefined) return
     setLogLevel(body.level)
--- a/packages/store/src/apply.ts
+++ b/packages/store/src/apply.ts
@@ -1,9 +1,9 @@
 /**
- * Applying a configuration: shards first, then one conditional update of the head. Only that update accepts it.
+ * Applies a configuration: writes its shards, then commits it with one conditional update of the head.
  *
- * A lost answer is settled by reading the head back: one's own change among the recent ones means accepted, also
- * when others have built on it since. Another change in its place means that somebody else came first, and the
- * operator decides again.
+ * When the response to that update is lost, the outcome is resolved by reading the head back. If the head's recent
+ * changes contain this change, it was committed, even if later changes have followed. If another change has the same
+ * revision, that one was committed first, and the operator has to decide again.
  */
 import { Revision, backoff, pause, randomToken, type Configuration, type Random } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
@@ -11,13 +11,13 @@
 import { StoreSource, headName, shardName, type VersionedHead } from './configuration-store.js'
 import { storeFault, type ObjectStore, type StoreFault } from './object-store.js'
 
-const triesOfWrite = 5
-const writesAtOnce = 8
-const recentChanges = 20
+const maxWriteAttempts = 5
+const maxConcurrentWrites = 8
+const maxRecentChanges = 20
 
 export interface ApplyRequest {
   configuration: Configuration
-  /** The revision that the operator looked at; 0 for the first. */
+  /** The revision that the change is based on; 0 for the first configuration. */
   base: Revision
   actor: string
   note: string
@@ -25,73 +25,76 @@
 
 export type ApplyOutcome =
   | { kind: 'applied', head: Head }
-  /** Nothing to do: what is declared is in force. */
+  /** The configuration equals the current one, so nothing was written. */
   | { kind: 'unchanged', head: Head }
-  /** Another change came first; nothing was applied. */
+  /** The current revision isn't the one that the change is based on; nothing was applied. */
   | { kind: 'conflict', head: Head }
 
-const isSame = (head: Head, shards: Shards): boolean =>
+const isUnchanged = (head: Head, shards: Shards): boolean =>
   head.common === shards.common && JSON.stringify(head.adapters) === JSON.stringify(shards.adapters)
 
 const writeShard = async (store: ObjectStore, hash: string, text: string, random: Random): Promise<Result<void, StoreFault>> => {
   for (let failures = 0; ; failures++) {
     const written = await store.put(shardName(hash), text, 'absent')
-    // A shard's name is its content's hash: one that is there already is the same.
+    // A shard is named after the hash of its content, so an existing object of that name has the same content.
     if (written.isOk() || written.error.code === 'conflict') return ok(undefined)
-    if (written.error.code === 'refused' || failures + 1 >= triesOfWrite) return err(written.error)
+    if (written.error.code === 'refused' || failures + 1 >= maxWriteAttempts) return err(written.error)
     await pause(backoff(failures, random))
   }
 }
 
 const writeShards = async (store: ObjectStore, shards: Shards, known: Set<string>, random: Random): Promise<Result<void, StoreFault>> => {
-  const fresh = [...shards.texts].filter(([hash]) => !known.has(hash))
-  for (let at = 0; at < fresh.length; at += writesAtOnce) {
-    const part = fresh.slice(at, at + writesAtOnce)
-    const written = await Promise.all(part.map(([hash, text]) => writeShard(store, hash, text, random)))
+  const missing = [...shards.texts].filter(([hash]) => !known.has(hash))
+  for (let at = 0; at < missing.length; at += maxConcurrentWrites) {
+    const batch = missing.slice(at, at + maxConcurrentWrites)
+    const written = await Promise.all(batch.map(([hash, text]) => writeShard(store, hash, text, random)))
     const failed = written.find(each => each.isErr())
     if (failed !== undefined) return failed
   }
   return ok(undefined)
 }
 
-/** What `head` says of `change`; `open` while its write may still take effect. */
-const judge = (head: Head | undefined, change: Change): ApplyOutcome | 'open' | 'forgotten' => {
-  if (head === undefined || head.revision < change.revision) return 'open'
-  const inPlace = head.recent.find(each => each.revision === change.revision)
-  if (inPlace === undefined) return 'forgotten'
-  return { kind: inPlace.applyId === change.applyId ? 'applied' : 'conflict', head }
+/**
+ * The outcome of `change` according to `head`. `pending`: its write may still take effect. `unknown`: the recent changes
+ * no longer reach back to its revision.
+ */
+const outcomeIn = (head: Head | undefined, change: Change): ApplyOutcome | 'pending' | 'unknown' => {
+  if (head === undefined || head.revision < change.revision) return 'pending'
+  const committed = head.recent.find(each => each.revision === change.revision)
+  if (committed === undefined) return 'unknown'
+  return { kind: committed.applyId === change.applyId ? 'applied' : 'conflict', head }
 }
 
-const unsettled = (change: Change): StoreFault =>
+const ambiguousOutcome = (change: Change): StoreFault =>
   storeFault('ambiguous', `change ${change.applyId} may have been accepted: see the history before applying again`)
 
-/** Reads until the store answers whose change is in place. */
-const settle = async (source: StoreSource, change: Change, random: Random): Promise<Result<ApplyOutcome | 'open', StoreFault>> => {
-  for (let failures = 0; failures < triesOfWrite; failures++) {
+/** Reads the head, with retries, to find out which change has the revision of `change`. */
+const resolveOutcome = async (source: StoreSource, change: Change, random: Random): Promise<Result<ApplyOutcome | 'pending', StoreFault>> => {
+  for (let failures = 0; failures < maxWriteAttempts; failures++) {
     const found = await source.head()
     if (found.isOk()) {
-      const verdict = judge(found.value, change)
-      return verdict === 'forgotten' ? err(unsettled(change)) : ok(verdict)
+      const outcome = outcomeIn(found.value, change)
+      return outcome === 'unknown' ? err(ambiguousOutcome(change)) : ok(outcome)
     }
     await pause(backoff(failures, random))
   }
-  return err(unsettled(change))
+  return err(ambiguousOutcome(change))
 }
 
 const writeHead = async (source: StoreSource, base: VersionedHead | undefined, head: Head, change: Change, random: Random): Promise<Result<ApplyOutcome, StoreFault>> => {
-  let mayHaveLanded = false
-  for (let failures = 0; failures < triesOfWrite; failures++) {
+  let mayBeCommitted = false
+  for (let failures = 0; failures < maxWriteAttempts; failures++) {
     const written = await source.store.put(headName, head, base?.version ?? 'absent')
     if (written.isOk()) return ok({ kind: 'applied', head })
     if (written.error.code === 'refused') return err(written.error)
-    mayHaveLanded ||= written.error.code === 'ambiguous'
-    // After a conflict too: an earlier try may be the one that took effect.
-    const settled = await settle(source, change, random)
-    if (settled.isErr()) return mayHaveLanded ? err(settled.error) : err(written.error)
-    if (settled.value !== 'open') return ok(settled.value)
+    mayBeCommitted ||= written.error.code === 'ambiguous'
+    // Also after a conflict: it may be due to an earlier attempt of this change that took effect.
+    const resolved = await resolveOutcome(source, change, random)
+    if (resolved.isErr()) return mayBeCommitted ? err(resolved.error) : err(written.error)
+    if (resolved.value !== 'pending') return ok(resolved.value)
     await pause(backoff(failures, random))
   }
-  return err(mayHaveLanded ? unsettled(change) : storeFault('unavailable', 'the head was not written'))
+  return err(mayBeCommitted ? ambiguousOutcome(change) : storeFault('unavailable', 'the head was not written'))
 }
 
 export const apply = async (store: ObjectStore, request: ApplyRequest, random: Random): Promise<Result<ApplyOutcome, StoreFault>> => {
@@ -101,7 +104,7 @@
   const base = current.value
   const shards = split(request.configuration)
   if (base !== undefined && base.head.revision !== request.base) return ok({ kind: 'conflict', head: base.head })
-  if (base !== undefined && isSame(base.head, shards)) return ok({ kind: 'unchanged', head: base.head })
+  if (base !== undefined && isUnchanged(base.head, shards)) return ok({ kind: 'unchanged', head: base.head })
   const known = new Set(base === undefined ? [] : [base.head.common, ...base.head.adapters])
   const written = await writeShards(store, shards, known, random)
   if (written.isErr()) return err(written.error)
@@ -114,7 +117,7 @@
   }
   const head: Head = {
     revision: change.revision,
-    recent: [change, ...(base?.head.recent ?? [])].slice(0, recentChanges),
+    recent: [change, ...(base?.head.recent ?? [])].slice(0, maxRecentChanges),
     common: shards.common,
     adapters: shards.adapters
   }
--- a/packages/store/src/catalog.ts
+++ b/packages/store/src/catalog.ts
@@ -1,11 +1,12 @@
 /**
- * The catalog: the accepted configuration as one process holds it.
+ * The catalog: one process's copy of the current configuration.
  *
- * The store keeps a head, which names every shard by its hash, and the shards. Equal hashes are equal texts, so
- * shards can come from the store or from any peer. A catalog only ever moves to a higher revision.
+ * The store holds the configuration as content-addressed shards and a head, which lists the hashes of the shards. Equal
+ * hashes mean equal content, so a shard may be fetched from the store or from any peer. A catalog's revision never
+ * decreases.
  *
- * Adapter shards stay texts until they are asked for: most adapters are idle, and 52,000 of them as objects would
- * not fit a node's budget.
+ * Adapter shards are kept as JSON text and decoded on first use: most adapters are idle, and 52,000 of them as objects
+ * would exceed a node's memory budget.
  */
 import { createHash } from 'node:crypto'
 import { Model, Revision, Service, Team, adapterId, noRevision, type Adapter, type Configuration } from '@finchpitch/core'
@@ -15,14 +16,14 @@
 
 const hashLength = 16
 const adaptersPerShard = 100
-const decodedShards = 128
+const maxDecodedShards = 128
 
 export const Change = z.object({
   revision: Revision,
-  /** Tells one's own write from another's when its answer was lost. */
+  /** Identifies the change when its writer reads the head back after the response to the write was lost. */
   applyId: z.string(),
   actor: z.string(),
-  /** Milliseconds since 1970 at the applying process's clock; shown, never compared. */
+  /** Unix time in milliseconds by the clock of the applying process; only displayed, never compared. */
   at: z.number(),
   note: z.string()
 })
@@ -30,7 +31,7 @@
 
 export const Head = z.object({
   revision: Revision,
-  /** The last changes, newest first; the first is this head's own. */
+  /** The most recent changes, newest first; the first one created this head. */
   recent: z.array(Change).min(1),
   common: z.string(),
   adapters: z.array(z.string())
@@ -50,11 +51,11 @@
 export interface Shards {
   common: string
   adapters: string[]
-  /** Text by hash. */
+  /** JSON text of each shard, by its hash. */
   texts: Map<string, string>
 }
 
-/** The number of shards for so many adapters: a power of two, so that it rarely changes. */
+/** The number of adapter shards: a power of two, since every change of the number redistributes all adapters. */
 const shardCount = (adapters: number): number => {
   let count = 1
   while (count * adaptersPerShard < adapters) count *= 2
@@ -63,7 +64,7 @@
 
 export const split = (configuration: Configuration): Shards => {
   const texts = new Map<string, string>()
-  const keep = (value: unknown): string => {
+  const addShard = (value: unknown): string => {
     const text = JSON.stringify(value)
     const hash = hashOf(text)
     texts.set(hash, text)
@@ -72,10 +73,10 @@
   const { teams, models, services } = configuration
   const groups = Array.from({ length: shardCount(configuration.adapters.length) }, (): Adapter[] => [])
   for (const adapter of configuration.adapters) groups[shardOf(adapterId(adapter), groups.length)]?.push(adapter)
-  return { common: keep({ teams, models, services }), adapters: groups.map(keep), texts }
+  return { common: addShard({ teams, models, services }), adapters: groups.map(addShard), texts }
 }
 
-/** Which shards a process holds: entries resolve adapters, side processes don't. */
+/** Which shards a process holds: entries need the adapter shards to resolve adapters, side processes don't. */
 export type Scope = 'all' | 'common'
 
 export class Catalog {
@@ -83,7 +84,7 @@
   #common: Common = { teams: [], models: [], services: [] }
   #texts = new Map<string, string>()
   #teamsByToken = new Map<string, Team>()
-  readonly #decoded = new LRUCache<string, Map<string, Adapter>>({ max: decodedShards })
+  readonly #decoded = new LRUCache<string, Map<string, Adapter>>({ max: maxDecodedShards })
   readonly #listeners = new Set<(revision: Revision) => void>()
 
   constructor (readonly scope: Scope) {}
@@ -96,31 +97,36 @@
     return this.#head
   }
 
-  /** Bytes of shard texts held. */
+  /** Total length of the shards' JSON texts. */
   get bytes (): number {
     return [...this.#texts.values()].reduce((sum, text) => sum + text.length, 0)
   }
 
-  /** Calls `listener` after each move; the function given back ends that. */
+  /** Calls `listener` after each update. Returns a function that removes the listener. */
   onMove (listener: (revision: Revision) => void): () => void {
     this.#listeners.add(listener)
     return () => this.#listeners.delete(listener)
   }
 
-  /** The shards that this process needs for `head`. */
+  /** Hashes of the shards of `head` that this process needs. */
   wanted (head: Head): string[] {
     return this.scope === 'all' ? [head.common, ...head.adapters] : [head.common]
   }
 
+  /** Hashes of the needed shards of `head` that are not held yet. */
   lacking (head: Head): string[] {
     return [...new Set(this.wanted(head))].filter(hash => !this.#texts.has(hash))
   }
 
+  /** The JSON text of a shard, if it is held. */
   text (hash: string): string | undefined {
     return this.#texts.get(hash)
   }
 
-  /** Moves to `head` if it is higher and every shard is there and whole; false leaves all as it was. */
+  /**
+   * Replaces the configuration by that of `head` if its revision is higher and every needed shard is present and matches
+   * its hash. Otherwise changes nothing and returns false.
+   */
   move (head: Head, fetched: Map<string, string>): boolean {
     if (head.revision <= this.revision) return false
     const texts = new Map<string, string>()
@@ -137,7 +143,7 @@
     return true
   }
 
-  /** Looking up a hash leaks nothing of the token, whatever the comparison's time. */
+  /** Tokens are looked up by hash, so that the timing of the lookup reveals nothing about the token. */
   teamOfToken (token: string): Team | undefined {
     return this.#teamsByToken.get(hashOfToken(token))
   }
@@ -161,7 +167,7 @@
     return hash === undefined ? undefined : this.#shard(hash).get(id)
   }
 
-  /** The whole configuration, for operators. */
+  /** The complete configuration, decoded, for operators. */
   whole (): Configuration {
     const adapters = (this.#head?.adapters ?? []).flatMap(hash => [...this.#shard(hash).values()])
     return { ...this.#common, adapters }
@@ -170,7 +176,7 @@
   #shard (hash: string): Map<string, Adapter> {
     const known = this.#decoded.get(hash)
     if (known !== undefined) return known
-    // Its hash says that this is the text which was checked when it was applied: parsing is enough.
+    // The hash proves that this is the text that was validated when it was applied, so it is parsed without a schema.
     const adapters = JSON.parse(this.#texts.get(hash) ?? '[]') as Adapter[]
     const shard = new Map(adapters.map(adapter => [adapterId(adapter), adapter]))
     this.#decoded.set(hash, shard)
--- a/packages/store/src/claims.ts
+++ b/packages/store/src/claims.ts
@@ -1,12 +1,13 @@
 /**
- * Claims: which incarnation may run the request with a key, agreed by conditional updates.
+ * Claims record in the store which incarnation of a side process may run the request with a given idempotency key.
+ * Entries agree on it by conditional updates.
  *
- * A key's claim sits in one of many bucket objects. Each process has at most one write under way for a bucket;
- * the claims that arrive meanwhile go together into the next one. A lost answer needs no special case: the bucket
- * is read again, and one's own nonce in it says that the write took effect.
+ * Claims are spread over a fixed number of bucket objects by a hash of the key. Each process has at most one write per
+ * bucket in flight; claims that arrive meanwhile are batched into the next write. A lost response needs no special case:
+ * the bucket is read again, and the claim's nonce in it proves that the write took effect.
  *
- * A claim is replaced only by `rebind`, and only from the binding whose incarnation has refused the key for good.
- * So of all incarnations ever bound to a key, all but the last have refused it.
+ * A claim is replaced only by `rebind`, and only if the incarnation of the replaced binding has permanently refused the
+ * key. So all incarnations that were ever bound to a key, except the last, have refused it, and only the last may run it.
  */
 import { createHash } from 'node:crypto'
 import { Binding, backoff, pause, type Random, type RequestKey, type TeamName } from '@finchpitch/core'
@@ -17,16 +18,16 @@
 export interface ClaimsOptions {
   store: ObjectStore
   random: Random
-  /** Objects over which claims are spread; the same at every process. */
+  /** Number of bucket objects that claims are spread over; must be the same in every process. */
   buckets: number
-  /** How long a claim is kept, by the clocks of those who write; far longer than any caller tries again. */
+  /** How long a claim is retained, by the clock of the writing process; far longer than any caller retries. */
   keptMs: number
 }
 
 export const defaultBuckets = 256
 export const defaultKeptMs = 24 * 60 * 60 * 1000
 
-const triesOfWrite = 6
+const maxWriteAttempts = 6
 const idBytes = 18
 
 const Claim = Binding.extend({ at: z.number() })
@@ -34,13 +35,13 @@
 const Bucket = z.record(z.string(), Claim)
 type Bucket = z.infer<typeof Bucket>
 
-/** Names a key within its team; two teams' equal keys never meet. */
+/** Identifies an idempotency key within its team, so that equal keys of two teams don't collide. */
 export const claimId = (team: TeamName, key: RequestKey): string =>
   createHash('sha256').update(`${team}\n${key}`).digest('base64url').slice(0, idBytes)
 
-interface Wish {
+interface ClaimRequest {
   id: string
-  /** The nonce of the claim that may be replaced; absent when only a free key may be taken. */
+  /** Nonce of the claim that may be replaced; `undefined` if the key must not be claimed yet. */
   from: string | undefined
   binding: Binding
   settle: (result: Result<Binding, StoreFault>) => void
@@ -54,23 +55,26 @@
 const toBinding = ({ at, ...binding }: Claim): Binding => binding
 
 export class Claims {
-  readonly #waiting = new Map<number, Wish[]>()
-  readonly #busy = new Set<number>()
-  readonly #seen = new Map<number, Snapshot>()
+  readonly #pending = new Map<number, ClaimRequest[]>()
+  readonly #writing = new Set<number>()
+  readonly #snapshots = new Map<number, Snapshot>()
 
   constructor (private readonly options: ClaimsOptions) {}
 
-  /** Binds a free key; gives the binding in force, which may be an earlier one. */
+  /** Binds an unclaimed key. Returns the current binding, which may be an earlier one. */
   bind (id: string, binding: Binding): Promise<Result<Binding, StoreFault>> {
-    return this.#wish(id, undefined, binding)
+    return this.#enqueue(id, undefined, binding)
   }
 
-  /** Replaces the binding with nonce `from`, whose incarnation has refused the key for good. */
+  /**
+   * Replaces the binding with nonce `from`, whose incarnation must have permanently refused the key. Returns the current
+   * binding, which is another one if the binding had been replaced already.
+   */
   rebind (id: string, from: string, binding: Binding): Promise<Result<Binding, StoreFault>> {
-    return this.#wish(id, from, binding)
+    return this.#enqueue(id, from, binding)
   }
 
-  /** The binding in force, read afresh. */
+  /** The current binding, read from the store. */
   async read (id: string): Promise<Result<Binding | undefined, StoreFault>> {
     const snapshot = await this.#read(this.#bucketOf(id))
     return snapshot.map(({ claims }) => {
@@ -83,64 +87,64 @@
     return Buffer.from(id, 'base64url').readUInt32BE() % this.options.buckets
   }
 
-  #wish (id: string, from: string | undefined, binding: Binding): Promise<Result<Binding, StoreFault>> {
+  #enqueue (id: string, from: string | undefined, binding: Binding): Promise<Result<Binding, StoreFault>> {
     const bucket = this.#bucketOf(id)
     return new Promise(resolve => {
-      const waiting = this.#waiting.get(bucket) ?? []
-      waiting.push({ id, from, binding, settle: resolve })
-      this.#waiting.set(bucket, waiting)
-      if (!this.#busy.has(bucket)) void this.#work(bucket)
+      const pending = this.#pending.get(bucket) ?? []
+      pending.push({ id, from, binding, settle: resolve })
+      this.#pending.set(bucket, pending)
+      if (!this.#writing.has(bucket)) void this.#writePending(bucket)
     })
   }
 
-  async #work (bucket: number): Promise<void> {
-    this.#busy.add(bucket)
-    for (let wishes = this.#take(bucket); wishes.length > 0; wishes = this.#take(bucket)) {
-      const written = await this.#write(bucket, wishes)
-      for (const wish of wishes) {
-        const claim = written.isOk() ? written.value[wish.id] : undefined
-        if (claim !== undefined) wish.settle(ok(toBinding(claim)))
-        else wish.settle(err(written.isErr() ? written.error : storeFault('refused', 'the claim was not written')))
+  async #writePending (bucket: number): Promise<void> {
+    this.#writing.add(bucket)
+    for (let requests = this.#takePending(bucket); requests.length > 0; requests = this.#takePending(bucket)) {
+      const written = await this.#write(bucket, requests)
+      for (const request of requests) {
+        const claim = written.isOk() ? written.value[request.id] : undefined
+        if (claim !== undefined) request.settle(ok(toBinding(claim)))
+        else request.settle(err(written.isErr() ? written.error : storeFault('refused', 'the claim was not written')))
       }
     }
-    this.#busy.delete(bucket)
-    this.#seen.delete(bucket)
+    this.#writing.delete(bucket)
+    this.#snapshots.delete(bucket)
   }
 
-  #take (bucket: number): Wish[] {
-    const wishes = this.#waiting.get(bucket) ?? []
-    this.#waiting.delete(bucket)
-    return wishes
+  #takePending (bucket: number): ClaimRequest[] {
+    const requests = this.#pending.get(bucket) ?? []
+    this.#pending.delete(bucket)
+    return requests
   }
 
-  /** Writes until each wish's key has a claim in the store; gives the bucket as the store has it. */
-  async #write (bucket: number, wishes: Wish[]): Promise<Result<Bucket, StoreFault>> {
-    let fault = storeFault('unavailable')
-    for (let failures = 0; failures < triesOfWrite; failures++) {
+  /** Writes, with retries, until the key of each request has a claim in the store. Returns the bucket as stored. */
+  async #write (bucket: number, requests: ClaimRequest[]): Promise<Result<Bucket, StoreFault>> {
+    let lastError = storeFault('unavailable')
+    for (let failures = 0; failures < maxWriteAttempts; failures++) {
       if (failures > 0) await pause(backoff(failures - 1, this.options.random))
-      const known = this.#seen.get(bucket)
-      const snapshot = known === undefined ? await this.#read(bucket) : ok(known)
+      const cached = this.#snapshots.get(bucket)
+      const snapshot = cached === undefined ? await this.#read(bucket) : ok(cached)
       if (snapshot.isErr()) {
-        fault = snapshot.error
+        lastError = snapshot.error
         continue
       }
-      const { claims, changed } = this.#merge(snapshot.value.claims, wishes)
-      if (!changed && known === undefined) return ok(claims)
+      const { claims, changed } = this.#merge(snapshot.value.claims, requests)
+      if (!changed && cached === undefined) return ok(claims)
       if (!changed) {
-        // What is remembered may be behind the store: only a fresh read may say who holds a key.
-        this.#seen.delete(bucket)
+        // The cached snapshot may be stale: only a new read may tell which binding holds a key. This is not a failed attempt.
+        this.#snapshots.delete(bucket)
         failures -= 1
         continue
       }
       const written = await this.options.store.put(bucketName(bucket), claims, snapshot.value.version)
       if (written.isOk()) {
-        this.#seen.set(bucket, { claims, version: written.value.version })
+        this.#snapshots.set(bucket, { claims, version: written.value.version })
         return ok(claims)
       }
-      this.#seen.delete(bucket)
-      fault = written.error
+      this.#snapshots.delete(bucket)
+      lastError = written.error
     }
-    return err(fault)
+    return err(lastError)
   }
 
   async #read (bucket: number): Promise<Result<Snapshot, StoreFault>> {
@@ -153,11 +157,11 @@
     })
   }
 
-  #merge (claims: Bucket, wishes: Wish[]): { claims: Bucket, changed: boolean } {
+  #merge (claims: Bucket, requests: ClaimRequest[]): { claims: Bucket, changed: boolean } {
     const now = Date.now()
     const merged: Bucket = Object.fromEntries(Object.entries(claims).filter(([, claim]) => now - claim.at < this.options.keptMs))
     let changed = false
-    for (const { id, from, binding } of wishes) {
+    for (const { id, from, binding } of requests) {
       const present = merged[id]
       if (present !== undefined && present.nonce !== from) continue
       merged[id] = { ...binding, at: now }
--- a/packages/store/src/configuration-store.ts
+++ b/packages/store/src/configuration-store.ts
@@ -1,5 +1,5 @@
 /**
- * Where catalogs learn from: the store, or a peer while the store is down.
+ * Sources that a catalog is updated from. The store is one; a peer serves as another while the store is unavailable.
  */
 import { err, ok, type Result } from 'neverthrow'
 import { Head, type Catalog } from './catalog.js'
@@ -8,7 +8,7 @@
 export const headName = 'config/head'
 export const shardName = (hash: string): string => `config/shard/${hash}`
 
-const shardsAtOnce = 16
+const maxConcurrentReads = 16
 
 export interface ConfigurationSource {
   head: () => Promise<Result<Head | undefined, StoreFault>>
@@ -38,12 +38,12 @@
 
   async shards (hashes: string[]): Promise<Result<Map<string, string>, StoreFault>> {
     const texts = new Map<string, string>()
-    for (let at = 0; at < hashes.length; at += shardsAtOnce) {
-      const part = hashes.slice(at, at + shardsAtOnce)
-      const found = await Promise.all(part.map(hash => this.store.get(shardName(hash))))
+    for (let at = 0; at < hashes.length; at += maxConcurrentReads) {
+      const batch = hashes.slice(at, at + maxConcurrentReads)
+      const found = await Promise.all(batch.map(hash => this.store.get(shardName(hash))))
       for (const [index, object] of found.entries()) {
         if (object.isErr()) return err(object.error)
-        const hash = part[index]
+        const hash = batch[index]
         if (hash !== undefined && typeof object.value?.value === 'string') texts.set(hash, object.value.value)
       }
     }
@@ -51,7 +51,7 @@
   }
 }
 
-/** Brings `catalog` to the source's head; the value is whether it moved. */
+/** Updates `catalog` to the head of `source`. Returns whether its revision changed. */
 export const catchUp = async (catalog: Catalog, source: ConfigurationSource): Promise<Result<boolean, StoreFault>> => {
   const head = await source.head()
   if (head.isErr()) return err(head.error)
--- a/packages/store/src/fence.ts
+++ b/packages/store/src/fence.ts
@@ -1,32 +1,34 @@
 /**
- * Fences: a number for each side process at a backend server, higher than that of every earlier one there.
+ * Fencing tokens: each side process that starts for a backend server takes a higher number than any before it. A
+ * backend server that checks the number refuses lower ones, so an earlier side process that is still running can no
+ * longer control it.
  */
 import { backoff, pause, type Random } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
 import { storeFault, type ObjectStore, type StoreFault } from './object-store.js'
 
-const triesOfWrite = 8
+const maxWriteAttempts = 8
 const FenceValue = z.object({ fence: z.number().int().positive() })
 
 /**
- * Takes the next fence for a backend server. A number whose write may have been lost is never used, so a lost
- * answer only skips one.
+ * Takes the next fencing token for a backend server. A number is used only once its write is confirmed, so a lost
+ * response merely skips a number.
  */
 export const takeFence = async (store: ObjectStore, backend: string, random: Random): Promise<Result<number, StoreFault>> => {
   const name = `fences/${backend}`
-  let fault = storeFault('unavailable')
-  for (let failures = 0; failures < triesOfWrite; failures++) {
+  let lastError = storeFault('unavailable')
+  for (let failures = 0; failures < maxWriteAttempts; failures++) {
     if (failures > 0) await pause(backoff(failures, random))
     const found = await store.get(name)
     if (found.isErr()) {
-      fault = found.error
+      lastError = found.error
       continue
     }
     const last = found.value === undefined ? 0 : FenceValue.parse(found.value.value).fence
     const written = await store.put(name, { fence: last + 1 }, found.value?.version ?? 'absent')
     if (written.isOk()) return ok(last + 1)
-    fault = written.error
+    lastError = written.error
   }
-  return err(fault)
+  return err(lastError)
 }
--- a/packages/store/src/follow.ts
+++ b/packages/store/src/follow.ts
@@ -1,17 +1,16 @@
 /**
- * Following the configuration: one task for each process that watches the store.
+ * Keeps a catalog up to date by watching the store, with one task per process that watches.
  *
- * Only the head is watched. An event is a hint to read again: repeats, gaps and events out of order then cost a
- * read and nothing else. The head is also read every few seconds, so that a watch which died unnoticed delays a
- * change by that and no more.
+ * Only the head is watched. An event merely triggers a read, so repeated, missing or reordered events cost at most an
+ * extra read. The head is also read periodically, which bounds the delay of a change when a watch has died unnoticed.
  */
 import { backoff, deadlineIn, pause, type Log, type Random } from '@finchpitch/core'
 import type { Catalog } from './catalog.js'
 import { StoreSource, catchUp, headName } from './configuration-store.js'
 import type { ObjectStore } from './object-store.js'
 
-/** With the few watching processes of a failure domain this is a handful of reads a second. */
-const rereadMs = 3000
+/** Interval of the periodic read. With the few watching processes per failure domain, it adds up to a few reads per second. */
+const readIntervalMs = 3000
 
 export interface Following {
   store: ObjectStore
@@ -21,37 +20,37 @@
   signal: AbortSignal
 }
 
-/** Runs until `signal` aborts. */
+/** Updates `catalog` until `signal` aborts. */
 export const follow = async ({ store, catalog, log, random, signal }: Following): Promise<void> => {
   const source = new StoreSource(store)
   let failures = 0
   while (!signal.aborted) {
-    const moved = await catchUp(catalog, source)
-    if (moved.isErr()) {
+    const updated = await catchUp(catalog, source)
+    if (updated.isErr()) {
       failures += 1
-      log.warn('configuration.unread', { fault: moved.error.code, detail: moved.error.detail, failures })
+      log.warn('configuration.unread', { fault: updated.error.code, detail: updated.error.detail, failures })
       await pause(backoff(failures, random), signal)
       continue
     }
     failures = 0
-    if (moved.value) log.info('configuration.moved', { revision: catalog.revision })
+    if (updated.value) log.info('configuration.moved', { revision: catalog.revision })
     await waitForChange(store, source, catalog, signal)
   }
 }
 
 const waitForChange = async (store: ObjectStore, source: StoreSource, catalog: Catalog, signal: AbortSignal): Promise<void> => {
-  const started = Date.now()
-  const reread = deadlineIn(rereadMs, signal)
+  const startedAt = Date.now()
+  const nextRead = deadlineIn(readIntervalMs, signal)
   try {
     const found = await source.versionedHead()
     if (found.isErr()) return
     if (found.value !== undefined && found.value.head.revision > catalog.revision) return
-    for await (const event of store.watch(headName, found.value?.version ?? '0', reread.signal)) {
+    for await (const event of store.watch(headName, found.value?.version ?? '0', nextRead.signal)) {
       if (event.type !== 'ended') return
     }
-    // A watch that ends at once must not turn into a loop of calls.
-    await pause(rereadMs - (Date.now() - started), reread.signal)
+    // Without the pause, watches that end immediately would cause a tight loop of calls.
+    await pause(readIntervalMs - (Date.now() - startedAt), nextRead.signal)
   } finally {
-    reread.clear()
+    nextRead.clear()
   }
 }
--- a/packages/store/src/http-store.ts
+++ b/packages/store/src/http-store.ts
@@ -1,6 +1,7 @@
 /**
- * The object API over HTTP and JSON, in the conventions of Kubernetes' API: `metadata.resourceVersion`, 409 on a
- * conflict, 410 for a watch that starts too far back, watches as lines of JSON.
+ * Client of the platform's object API over HTTP and JSON. The API follows Kubernetes conventions:
+ * `metadata.resourceVersion`, status 409 on a conflict, 410 for a watch from a version that is no longer kept, and
+ * watches as newline-delimited JSON.
  */
 import { err, ok, type Result } from 'neverthrow'
 import { Pool, errors } from 'undici'
@@ -8,17 +9,17 @@
 import { storeFault, type ObjectStore, type ResourceVersion, type StoreFault, type StoredObject, type WatchEvent } from './object-store.js'
 
 const root = '/apis/finchpitch/v1/objects'
-const connections = 8
-const callMs = 1000
-/** A watch is renewed after this time of silence, as its connection may be dead. */
-const watchSilenceMs = 30_000
+const maxConnections = 8
+const callTimeoutMs = 1000
+/** A watch that has received nothing for this long is ended, since its connection may be dead. */
+const watchIdleTimeoutMs = 30_000
 
 const Item = z.object({
   metadata: z.object({ name: z.string(), resourceVersion: z.string() }),
   spec: z.unknown()
 })
-const Names = z.object({ items: z.array(z.string()) })
-const Line = z.object({ type: z.enum(['MODIFIED', 'DELETED', 'ERROR']), object: z.unknown() })
+const NameList = z.object({ items: z.array(z.string()) })
+const WatchLine = z.object({ type: z.enum(['MODIFIED', 'DELETED', 'ERROR']), object: z.unknown() })
 
 const toObject = (body: unknown): StoredObject => {
   const item = Item.parse(body)
@@ -30,41 +31,41 @@
   body: unknown
 }
 
-/** Errors of connections that were never made: the call surely did nothing. */
-const unsent = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
+/** Error codes of failed connection attempts: nothing was sent, so the call had no effect. */
+const connectErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
-const statusFaults: Record<number, StoreFault['code']> = { 409: 'conflict', 410: 'too_old', 429: 'unavailable', 503: 'unavailable' }
+const errorCodesByStatus: Record<number, StoreFault['code']> = { 409: 'conflict', 410: 'too_old', 429: 'unavailable', 503: 'unavailable' }
 
 export class HttpStore implements ObjectStore {
   readonly #pool: Pool
 
   constructor (origin: string, private readonly token?: string) {
-    this.#pool = new Pool(origin, { connections, headersTimeout: callMs, bodyTimeout: watchSilenceMs, connectTimeout: callMs })
+    this.#pool = new Pool(origin, { connections: maxConnections, headersTimeout: callTimeoutMs, bodyTimeout: watchIdleTimeoutMs, connectTimeout: callTimeoutMs })
   }
 
   async get (name: string): Promise<Result<StoredObject | undefined, StoreFault>> {
     const reply = await this.#call('GET', `${root}/${name}`)
     if (reply.isErr()) return err(reply.error)
     if (reply.value.status === 404) return ok(undefined)
-    return this.#judge(reply.value, toObject)
+    return this.#resultOf(reply.value, toObject)
   }
 
   async list (prefix: string): Promise<Result<string[], StoreFault>> {
     const reply = await this.#call('GET', `${root}?prefix=${encodeURIComponent(prefix)}`)
-    return reply.andThen(value => this.#judge(value, body => Names.parse(body).items))
+    return reply.andThen(value => this.#resultOf(value, body => NameList.parse(body).items))
   }
 
   async put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreFault>> {
     const metadata = version === 'absent' ? { name } : { name, resourceVersion: version }
     const reply = await this.#call('PUT', `${root}/${name}`, { metadata, spec: value })
-    return reply.andThen(found => this.#judge(found, toObject))
+    return reply.andThen(found => this.#resultOf(found, toObject))
   }
 
   async remove (name: string, version: ResourceVersion): Promise<Result<void, StoreFault>> {
     const reply = await this.#call('DELETE', `${root}/${name}?resourceVersion=${version}`)
     if (reply.isErr()) return err(reply.error)
     if (reply.value.status === 404) return ok(undefined)
-    return this.#judge(reply.value, () => undefined)
+    return this.#resultOf(reply.value, () => undefined)
   }
 
   async * watch (name: string, version: ResourceVersion, signal: AbortSignal): AsyncGenerator<WatchEvent> {
@@ -73,12 +74,12 @@
       const { statusCode, body } = await this.#pool.request({ method: 'GET', path, headers: this.#headers(), signal })
       if (statusCode !== 200) {
         await body.dump()
-        yield { type: 'ended', fault: storeFault(statusFaults[statusCode] ?? 'refused', `status ${statusCode}`) }
+        yield { type: 'ended', fault: storeFault(errorCodesByStatus[statusCode] ?? 'refused', `status ${statusCode}`) }
         return
       }
       let text = ''
-      for await (const piece of body.setEncoding('utf8')) {
-        text += piece as string
+      for await (const chunk of body.setEncoding('utf8')) {
+        text += chunk as string
         const lines = text.split('\n')
         text = lines.pop() ?? ''
         for (const line of lines) yield this.#event(line)
@@ -94,7 +95,7 @@
   }
 
   #event (line: string): WatchEvent {
-    const { type, object } = Line.parse(JSON.parse(line))
+    const { type, object } = WatchLine.parse(JSON.parse(line))
     if (type === 'ERROR') return { type: 'ended', fault: storeFault('too_old') }
     const item = toObject(object)
     return type === 'DELETED' ? { type: 'deleted', name: item.name, version: item.version } : { type: 'changed', object: item }
@@ -107,19 +108,19 @@
   async #call (method: 'GET' | 'PUT' | 'DELETE', path: string, body?: unknown): Promise<Result<Reply, StoreFault>> {
     try {
       const headers = { ...this.#headers(), ...(body === undefined ? {} : { 'content-type': 'application/json' }) }
-      const sent = body === undefined ? null : JSON.stringify(body)
-      const reply = await this.#pool.request({ method, path, headers, body: sent, bodyTimeout: callMs })
+      const payload = body === undefined ? null : JSON.stringify(body)
+      const reply = await this.#pool.request({ method, path, headers, body: payload, bodyTimeout: callTimeoutMs })
       const text = await reply.body.text()
       return ok({ status: reply.statusCode, body: text === '' ? undefined : JSON.parse(text) })
     } catch (error) {
       const code = (error as NodeJS.ErrnoException).code ?? ''
-      const harmless = method === 'GET' || unsent.has(code) || error instanceof errors.ConnectTimeoutError
-      return err(storeFault(harmless ? 'unavailable' : 'ambiguous', (error as Error).message))
+      const hadNoEffect = method === 'GET' || connectErrorCodes.has(code) || error instanceof errors.ConnectTimeoutError
+      return err(storeFault(hadNoEffect ? 'unavailable' : 'ambiguous', (error as Error).message))
     }
   }
 
-  #judge<T> (reply: Reply, read: (body: unknown) => T): Result<T, StoreFault> {
+  #resultOf<T> (reply: Reply, read: (body: unknown) => T): Result<T, StoreFault> {
     if (reply.status >= 200 && reply.status < 300) return ok(read(reply.body))
-    return err(storeFault(statusFaults[reply.status] ?? 'refused', `status ${reply.status}`))
+    return err(storeFault(errorCodesByStatus[reply.status] ?? 'refused', `status ${reply.status}`))
   }
 }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** Peer: the platform. Its object API, its instance list, and what the system keeps there. */
+/** Clients of the platform's object API and instance list, and the data that the system stores there. */
 export * from './object-store.js'
 export * from './http-store.js'
 export * from './instances.js'
--- a/packages/store/src/instances.ts
+++ b/packages/store/src/instances.ts
@@ -1,5 +1,6 @@
 /**
- * The platform's instance list: live and leaving instances. It lags, so it only says whom to try.
+ * The platform's list of running and draining instances. It lags behind, so it serves only
+ * to choose which addresses to connect to: a listed instance may be gone.
  */
 import { Address, FailureDomain, ProcessId, Serving } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
@@ -7,7 +8,7 @@
 import * as z from 'zod'
 import { storeFault, type StoreFault } from './object-store.js'
 
-const listMs = 1000
+const requestTimeoutMs = 1000
 
 export const Instance = z.object({
   process: ProcessId,
@@ -23,28 +24,28 @@
   read: () => Promise<Result<Instance[], StoreFault>>
 }
 
-const Listing = z.object({ items: z.array(Instance) })
+const InstancesBody = z.object({ items: z.array(Instance) })
 
 export class HttpInstanceList implements InstanceList {
-  /** The last reading, and the tag by which the platform knows it: one that has not changed is not sent again. */
-  #last: { tag: string, instances: Instance[] } | undefined
+  /** The last response and its entity tag: the platform doesn't send an unchanged list again. */
+  #cached: { tag: string, instances: Instance[] } | undefined
 
   constructor (private readonly origin: string) {}
 
   async read (): Promise<Result<Instance[], StoreFault>> {
     try {
-      const headers = this.#last === undefined ? {} : { 'if-none-match': this.#last.tag }
-      const reply = await request(`${this.origin}/instances`, { headers, headersTimeout: listMs, bodyTimeout: listMs })
-      if (reply.statusCode === 304 && this.#last !== undefined) {
+      const headers = this.#cached === undefined ? {} : { 'if-none-match': this.#cached.tag }
+      const reply = await request(`${this.origin}/instances`, { headers, headersTimeout: requestTimeoutMs, bodyTimeout: requestTimeoutMs })
+      if (reply.statusCode === 304 && this.#cached !== undefined) {
         await reply.body.dump()
-        return ok(this.#last.instances)
+        return ok(this.#cached.instances)
       }
       const body = await reply.body.json()
-      const listing = Listing.safeParse(body)
-      if (reply.statusCode !== 200 || !listing.success) return err(storeFault('refused', `status ${reply.statusCode}`))
+      const parsed = InstancesBody.safeParse(body)
+      if (reply.statusCode !== 200 || !parsed.success) return err(storeFault('refused', `status ${reply.statusCode}`))
       const { etag } = reply.headers
-      this.#last = typeof etag === 'string' ? { tag: etag, instances: listing.data.items } : undefined
-      return ok(listing.data.items)
+      this.#cached = typeof etag === 'string' ? { tag: etag, instances: parsed.data.items } : undefined
+      return ok(parsed.data.items)
     } catch (error) {
       return err(storeFault('unavailable', (error as Error).message))
     }
--- a/packages/store/src/object-store.ts
+++ b/packages/store/src/object-store.ts
@@ -1,12 +1,12 @@
 /**
- * The platform's object API as the system uses it: versions, conditional updates, watches.
+ * The interface to the platform's object store: versioned objects, conditional updates and watches.
  *
- * Every call can fail in three ways that must not be mixed: the store said no (`conflict`), the call surely did
- * nothing (`unavailable`), or a write's answer was lost and it may have taken effect (`ambiguous`).
+ * Callers must tell apart three ways in which a write can fail: the object has changed (`conflict`), the write certainly
+ * had no effect (`unavailable`), or its response was lost and it may have taken effect (`ambiguous`).
  */
 import type { Result } from 'neverthrow'
 
-/** Grows with each write anywhere in the store. */
+/** Increases with every write to any object of the store. */
 export type ResourceVersion = string
 
 export interface StoredObject {
@@ -40,13 +40,13 @@
   | { type: 'ended', fault: StoreFault }
 
 export interface ObjectStore {
-  /** `undefined` where there is no such object. */
+  /** `undefined` if the object doesn't exist. */
   get: (name: string) => Promise<Result<StoredObject | undefined, StoreFault>>
-  /** Names with the prefix, in order. */
+  /** Sorted names of the objects whose name starts with `prefix`. */
   list: (prefix: string) => Promise<Result<string[], StoreFault>>
-  /** Writes if the object is still at `version`, or still absent. */
+  /** Writes the object if it is still at `version`; with `absent`, if it still doesn't exist. */
   put: (name: string, value: unknown, version: ResourceVersion | 'absent') => Promise<Result<StoredObject, StoreFault>>
   remove: (name: string, version: ResourceVersion) => Promise<Result<void, StoreFault>>
-  /** Events after `version`, with repeats and gaps; always closes with `ended`. */
+  /** Yields changes after `version`; events may be repeated or missing. The last event is always `ended`. */
   watch: (name: string, version: ResourceVersion, signal: AbortSignal) => AsyncIterable<WatchEvent>
 }
--- a/packages/store/test/apply.test.ts
+++ b/packages/store/test/apply.test.ts
@@ -25,32 +25,32 @@
 
   afterEach(() => time.restore())
 
-  it('counts revisions and says when nothing changed', async () => {
+  it('increments the revision and reports an unchanged configuration', async () => {
     const kinds = []
     for (const [base, team] of [[0, 'a'], [1, 'b'], [2, 'b']] as const) kinds.push((await applied(base, team))._unsafeUnwrap())
     expect(kinds.map(({ kind, head }) => `${kind} ${head.revision}`)).to.deep.equal(['applied 1', 'applied 2', 'unchanged 2'])
   })
 
-  it('lets one of two racing operators win and tells the other', async () => {
+  it('applies one of two concurrent changes and reports a conflict for the other', async () => {
     const both = await Promise.all([applied(0, 'a'), applied(0, 'b')])
     expect(both.map(each => each._unsafeUnwrap().kind)).to.have.members(['applied', 'conflict'])
   })
 
-  it('refuses a change that was made for an older revision', async () => {
+  it('rejects a change that is based on an older revision', async () => {
     await applied(0, 'a')
     await applied(1, 'b')
     expect((await applied(1, 'c'))._unsafeUnwrap().kind).to.equal('conflict')
   })
 
-  describe('a lost answer', () => {
-    it('is settled by reading back', async () => {
+  describe('when a response is lost', () => {
+    it('reads the head back to learn the outcome', async () => {
       await applied(0, 'a')
       store.loseAnswers = 2
       expect((await applied(1, 'b'))._unsafeUnwrap()).to.include({ kind: 'applied' })
       expect(store.writes.filter(({ name }) => name === 'config/head')).to.have.length(2)
     })
 
-    it('counts as applied when another change was built on it meanwhile', async () => {
+    it('reports the change as applied even if another one has followed', async () => {
       await applied(0, 'a')
       const put = store.put.bind(store)
       let intercepted = false
@@ -65,7 +65,7 @@
       expect((await applied(1, 'b'))._unsafeUnwrap().kind).to.equal('applied')
     })
 
-    it('is told as unsettled when the store can not be read back', async () => {
+    it('reports an ambiguous outcome if the head can\'t be read back', async () => {
       await applied(0, 'a')
       const put = store.put.bind(store)
       store.put = async (name, value, version) => {
@@ -75,13 +75,13 @@
         store.down = true
         return written
       }
-      const told = (await applied(1, 'b'))._unsafeUnwrapErr()
-      expect(told.code).to.equal('ambiguous')
+      const error = (await applied(1, 'b'))._unsafeUnwrapErr()
+      expect(error.code).to.equal('ambiguous')
     })
   })
 
   describe('a catalog', () => {
-    it('never goes back', async () => {
+    it('never moves to a lower revision', async () => {
       await applied(0, 'a')
       const catalog = new Catalog('all')
       const source = new StoreSource(store)
@@ -95,7 +95,7 @@
       expect([catalog.revision, catalog.team('b')?.name]).to.deep.equal([2, 'b'])
     })
 
-    it('refuses a shard whose text is not what its hash says', async () => {
+    it('rejects a shard whose text doesn\'t match its hash', async () => {
       await applied(0, 'a')
       const head = (await new StoreSource(store).head())._unsafeUnwrap()
       if (head === undefined) throw new Error('there is a head')
--- a/packages/store/test/claims.test.ts
+++ b/packages/store/test/claims.test.ts
@@ -26,26 +26,26 @@
 
   afterEach(() => time.restore())
 
-  it('gives a key to one of many entries that want it at once', async () => {
+  it('binds a key once when several entries claim it concurrently', async () => {
     const bound = await time.until(Promise.all(['a', 'b', 'c', 'd'].map(nonce => claims().bind(id, binding(nonce)))))
     const nonces = bound.map(each => each._unsafeUnwrap().nonce)
     expect(new Set(nonces).size).to.equal(1)
   })
 
-  it('writes many claims that come together as few updates', async () => {
+  it('batches concurrent claims into few updates', async () => {
     const one = new Claims({ store, random: seeded, buckets: 1, keptMs: 60_000 })
     const keys = Array.from({ length: 50 }, (_, index) => claimId(TeamName.parse('quetzal'), RequestKey.parse(`k${index}`)))
     await time.until(Promise.all(keys.map(key => one.bind(key, binding(key)))))
     expect(store.calls.writes).to.equal(2)
   })
 
-  it('finds its own claim after a lost answer', async () => {
+  it('finds its own claim after a lost response', async () => {
     store.loseAnswers = 1
     expect((await time.until(claims().bind(id, binding('mine'))))._unsafeUnwrap().nonce).to.equal('mine')
     expect(store.writes).to.have.length(1)
   })
 
-  it('asks the store again rather than believe what it remembers', async () => {
+  it('reads the store again rather than trust a cached snapshot', async () => {
     const one = claims()
     const first = one.bind(id, binding('a'))
     const second = one.bind(id, binding('b'))
@@ -54,27 +54,27 @@
   })
 
   describe('rebind', () => {
-    it('replaces only the binding that it names', async () => {
+    it('replaces only the binding with the given nonce', async () => {
       await time.until(claims().bind(id, binding('a')))
       expect((await time.until(claims().rebind(id, 'a', binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
       expect((await time.until(claims().rebind(id, 'a', binding('c'))))._unsafeUnwrap().nonce).to.equal('b')
     })
 
-    it('lets one of two entries replace it', async () => {
+    it('lets only one of two concurrent entries replace a binding', async () => {
       await time.until(claims().bind(id, binding('a')))
       const both = await time.until(Promise.all(['b', 'c'].map(nonce => claims().rebind(id, 'a', binding(nonce)))))
       expect(new Set(both.map(each => each._unsafeUnwrap().nonce)).size).to.equal(1)
     })
   })
 
-  it('forgets a claim only after its time', async () => {
-    const brief = new Claims({ store, random: seeded, buckets: 4, keptMs: 0 })
+  it('drops a claim only after its retention time', async () => {
+    const expiring = new Claims({ store, random: seeded, buckets: 4, keptMs: 0 })
     await time.until(claims().bind(id, binding('a')))
     expect((await time.until(claims().bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('a')
-    expect((await time.until(brief.bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
+    expect((await time.until(expiring.bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
   })
 
-  it('never gives two teams the same claim', () => {
+  it('gives equal keys of two teams different claim ids', () => {
     const key = RequestKey.parse('same')
     expect(claimId(TeamName.parse('a'), key)).not.to.equal(claimId(TeamName.parse('b'), key))
   })
--- a/packages/store/test/follow.test.ts
+++ b/packages/store/test/follow.test.ts
@@ -5,7 +5,7 @@
 
 const seeded = (): number => 0.5
 
-describe('follow', () => {
+describe('configuration watch', () => {
   let store: MemoryStore
   let time: FakeTime
   let catalog: Catalog
@@ -35,27 +35,27 @@
     time.restore()
   })
 
-  it('has a change at once by its watch', async () => {
+  it('learns a change immediately from its watch', async () => {
     await change()
     await time.pass(10)
     expect(catalog.revision).to.equal(2)
   })
 
-  for (const [fault, strike] of Object.entries({
-    'a deaf watch': (each: MemoryStore) => { each.deafWatches = true },
-    'doubled events': (each: MemoryStore) => { each.repeatEvents = true },
-    'a cut watch': (each: MemoryStore) => { each.cutWatches() },
+  for (const [fault, inject] of Object.entries({
+    'a watch that delivers nothing': (each: MemoryStore) => { each.deafWatches = true },
+    'duplicate events': (each: MemoryStore) => { each.repeatEvents = true },
+    'an interrupted watch': (each: MemoryStore) => { each.cutWatches() },
     'a slow store': (each: MemoryStore) => { each.delayMs = 400 }
   })) {
-    it(`has it within 5 s with ${fault}`, async () => {
-      strike(store)
+    it(`learns a change within 5 s with ${fault}`, async () => {
+      inject(store)
       await change()
       await time.pass(5000)
       expect(catalog.revision).to.equal(2)
     })
   }
 
-  it('keeps what it has while the store is down, and catches up after', async () => {
+  it('keeps its configuration while the store is down, and catches up afterwards', async () => {
     store.down = true
     await time.pass(60_000)
     expect(catalog.revision).to.equal(1)
@@ -65,15 +65,15 @@
     expect(catalog.revision).to.equal(2)
   })
 
-  it('asks a quiet store little', async () => {
+  it('calls an idle store at most about once a second', async () => {
     const { reads, watches } = store.calls
     await time.pass(60_000)
     expect((store.calls.reads - reads + store.calls.watches - watches) / 60).to.be.at.most(1.1)
   })
 })
 
-describe('fence', () => {
-  it('is higher for each that takes one, also after a lost answer', async () => {
+describe('fencing token', () => {
+  it('is unique and higher for each later caller, also after a lost response', async () => {
     const time = new FakeTime()
     const store = new MemoryStore()
     try {
