--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench -- capacity`: how state, messages, processor time and memory grow with each dimension.
+ * `npm run bench -- capacity`: how state size, traffic, CPU time and memory grow with the number of adapters, side processes
+ * and uplinks.
  */
 import { Revision, check } from '@finchpitch/core'
 import { hashCandidates, rankHashedCandidates } from '@finchpitch/decisions'
@@ -11,9 +12,9 @@
 
 const heartbeatsPerSecond = 0.5
 const idleMs = 12_000
-const lookups = 20_000
+const lookupCount = 20_000
 
-const headOf = (shards: ReturnType<typeof split>, revision: number): Head => ({
+const buildHead = (shards: ReturnType<typeof split>, revision: number): Head => ({
   revision: Revision.parse(revision),
   recent: [{ revision: Revision.parse(revision), applyId: 'abcdefghijklmnop', actor: 'bench', at: 0, note: '' }],
   common: shards.common,
@@ -26,85 +27,89 @@
   return heapUsed + external
 }
 
-const timed = (task: () => void): number => {
+const measureMs = (task: () => void): number => {
   const startedAt = performance.now()
   task()
   return performance.now() - startedAt
 }
 
-/** Adapters known of: what a catalog holds, what a change costs, what a look-up costs. */
+/** Cost of the number of configured adapters: size of the catalog, bytes read per change, time of a look-up. */
 const adaptersRow = (count: number): Row => {
   const configuration = check(benchConfiguration(count))._unsafeUnwrap()
   const shards = split(configuration)
   const before = heapBytes()
   const catalog = new Catalog('all')
   const texts = new Map([...shards.texts].map(([hash, text]) => [hash, Buffer.from(text).toString()]))
-  const moveMs = timed(() => { catalog.move(headOf(shards, 1), texts) })
+  const moveMs = measureMs(() => { catalog.move(buildHead(shards, 1), texts) })
   texts.clear()
-  const held = heapBytes() - before
-  const lookupMs = timed(() => {
-    for (let index = 0; index < lookups; index++) catalog.adapter('bench', `a${(index * 7919) % count}`)
+  const catalogBytes = heapBytes() - before
+  const lookupMs = measureMs(() => {
+    for (let index = 0; index < lookupCount; index++) catalog.adapter('bench', `a${(index * 7919) % count}`)
   })
-  const head = JSON.stringify(headOf(shards, 1)).length
+  const head = JSON.stringify(buildHead(shards, 1)).length
   const shard = Math.max(...shards.adapters.map(hash => shards.texts.get(hash)?.length ?? 0))
   return {
     dimension: 'adapters',
     size: count,
     shards: shards.adapters.length,
-    'catalog bytes': held,
+    'catalog bytes': catalogBytes,
     'bytes/change': head + shard,
     'first move ms': rounded(moveMs),
-    'look-up µs': rounded(lookupMs * 1000 / lookups)
+    'look-up µs': rounded(lookupMs * 1000 / lookupCount)
   }
 }
 
-/** Side processes of one base model: what finding an adapter's preferred ones costs. */
-const sidesRow = (count: number): Row => {
+/** Time to pick an adapter's rendezvous hosts among the side processes of one base model. */
+const sideProcessesRow = (count: number): Row => {
   const candidates = hashCandidates(Array.from({ length: count }, (_, index) => ({ process: `side-${index}`, domain: `zone-${index % 5}` })))
   const rounds = Math.ceil(100_000 / count)
-  const ms = timed(() => {
+  const ms = measureMs(() => {
     for (let round = 0; round < rounds; round++) rankHashedCandidates(`bench/a${round}`, candidates, 4)
   })
   return { dimension: 'side processes of a model', size: count, 'preference µs': rounded(ms * 1000 / rounds) }
 }
 
-/** Real processes: what one more side process costs the entry that it has its uplink to, and the platform. */
+/**
+ * What idle side processes cost the entry that they keep their uplinks to, and the platform. Measured on real processes by
+ * the difference of two readings, `idleMs` apart.
+ */
 const uplinksRow = async (count: number): Promise<Row> => {
-  const rig = new Rig()
-  await rig.start()
+  const cluster = new Rig()
+  await cluster.start()
   try {
-    const entry = await rig.entry('entry-0')
-    await rig.apply(entry, benchConfiguration(1), 0)
+    const entry = await cluster.entry('entry-0')
+    await cluster.apply(entry, benchConfiguration(1), 0)
     for (let index = 0; index < count; index += 8) {
-      await Promise.all(Array.from({ length: Math.min(8, count - index) }, (_, at) => rig.serviceSide(`side-${index + at}`)))
+      await Promise.all(Array.from({ length: Math.min(8, count - index) }, (_, offset) => cluster.serviceSide(`side-${index + offset}`)))
     }
     await new Promise(resolve => setTimeout(resolve, idleMs / 2))
-    const calls = { ...rig.platform.store.calls }
-    const lists = rig.platform.lists
-    const before = await usageOf(entry.child.pid)
-    const sideBefore = await usageOf(rig.daemons[1]?.child.pid)
+    const callsBefore = { ...cluster.platform.store.calls }
+    const listsBefore = cluster.platform.lists
+    const entryBefore = await usageOf(entry.child.pid)
+    const sideBefore = await usageOf(cluster.daemons[1]?.child.pid)
     await new Promise(resolve => setTimeout(resolve, idleMs))
-    const after = await usageOf(entry.child.pid)
-    const sideAfter = await usageOf(rig.daemons[1]?.child.pid)
-    const perSecond = (used: number): number => rounded(used * 1000 / idleMs)
+    const entryAfter = await usageOf(entry.child.pid)
+    const sideAfter = await usageOf(cluster.daemons[1]?.child.pid)
+    const perSecond = (increase: number): number => rounded(increase * 1000 / idleMs)
     return {
       dimension: 'uplinks at an entry',
       size: count,
-      'entry CPU %': rounded(perSecond(after.cpuSeconds - before.cpuSeconds) * 100),
-      'entry MB': rounded(after.residentBytes / 2 ** 20),
+      'entry CPU %': rounded(perSecond(entryAfter.cpuSeconds - entryBefore.cpuSeconds) * 100),
+      'entry MB': rounded(entryAfter.residentBytes / 2 ** 20),
       'side CPU %': rounded(perSecond(sideAfter.cpuSeconds - sideBefore.cpuSeconds) * 100),
       'side MB': rounded(sideAfter.residentBytes / 2 ** 20),
-      'store reads/s': perSecond(rig.platform.store.calls.reads - calls.reads),
-      'watches opened/s': perSecond(rig.platform.store.calls.watches - calls.watches),
-      'list reads/s': perSecond(rig.platform.lists - lists),
-      'list bytes': JSON.stringify({ items: rig.platform.instances }).length
+      'store reads/s': perSecond(cluster.platform.store.calls.reads - callsBefore.reads),
+      'watches opened/s': perSecond(cluster.platform.store.calls.watches - callsBefore.watches),
+      'list reads/s': perSecond(cluster.platform.lists - listsBefore),
+      'list bytes': JSON.stringify({ items: cluster.platform.instances }).length
     }
   } finally {
-    await rig.stop()
+    await cluster.stop()
   }
 }
 
-const framesRow = (): Row => {
+/** Bytes that the heartbeats of a channel take while no requests pass. */
+const idleChannelRow = (): Row => {
   const load = { waiting: 3, running: 12, capacity: 64, epoch: 9, leaving: false }
   const heartbeat = encode({ type: 'heartbeat', revision: Revision.parse(10_000), load }).length
   return { dimension: 'a channel, idle', size: 1, 'bytes/s each way': rounded(heartbeat * heartbeatsPerSecond) }
@@ -113,8 +118,8 @@
 export const capacity = async (): Promise<void> => {
   const rows: Row[] = [
     ...[520, 5200, 52_000].map(adaptersRow),
-    ...[10, 100, 967].map(sidesRow),
-    framesRow()
+    ...[10, 100, 967].map(sideProcessesRow),
+    idleChannelRow()
   ]
   for (const count of [1, 16, 64]) rows.push(await uplinksRow(count))
   await publish({ name: 'capacity', about: `growth of each dimension; processes idle for ${idleMs / 1000} s`, rows })
--- a/packages/bench/src/claims.ts
+++ b/packages/bench/src/claims.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench -- claims`: store calls and added latency of a request that may run at most once, for each way.
+ * `npm run bench -- claims`: store calls and added latency of a request that may run at most once, by how claims are spread
+ * over store objects and whether one entry's concurrent claims share a write.
  */
 import { Address, Incarnation, ProcessId, RequestKey, TeamName, randomToken, type Binding } from '@finchpitch/core'
 import { Claims, claimId } from '@finchpitch/store'
@@ -7,8 +8,8 @@
 import { publish, rounded, type Row } from './report.js'
 import { repeat } from './sample.js'
 
-/** A platform that answers in milliseconds. */
-const storeMs = 3
+/** Latency of each store call, as of a platform that answers within milliseconds. */
+const storeLatencyMs = 3
 const requests = 1000
 const entries = 4
 const team = TeamName.parse('bench')
@@ -21,43 +22,43 @@
   nonce: randomToken()
 })
 
-interface Way {
+interface Variant {
   name: string
-  /** The claims that request `index` goes through; `undefined` where it needs none. */
+  /** The claims that bind request `index`; `undefined` for a ticket, which needs no claim. */
   claimsFor: (index: number) => Claims | undefined
 }
 
-const ways = (store: MemoryStore): Way[] => {
+const variants = (store: MemoryStore): Variant[] => {
   const options = { store, random: Math.random, keptMs: 60_000 }
-  const grouped = (buckets: number): Claims[] => Array.from({ length: entries }, () => new Claims({ ...options, buckets }))
-  const ownObjects = grouped(2 ** 30)
-  const many = grouped(256)
-  const few = grouped(16)
+  const claimsPerEntry = (buckets: number): Claims[] => Array.from({ length: entries }, () => new Claims({ ...options, buckets }))
+  const objectPerKey = claimsPerEntry(2 ** 30)
+  const manyBuckets = claimsPerEntry(256)
+  const fewBuckets = claimsPerEntry(16)
   return [
-    { name: 'an object for each key', claimsFor: index => ownObjects[index % entries] },
+    { name: 'an object for each key', claimsFor: index => objectPerKey[index % entries] },
     { name: '256 buckets, each request alone', claimsFor: () => new Claims({ ...options, buckets: 256 }) },
-    { name: '256 buckets, grouped by entry', claimsFor: index => many[index % entries] },
-    { name: '16 buckets, grouped by entry', claimsFor: index => few[index % entries] },
+    { name: '256 buckets, grouped by entry', claimsFor: index => manyBuckets[index % entries] },
+    { name: '16 buckets, grouped by entry', claimsFor: index => fewBuckets[index % entries] },
     { name: 'tickets', claimsFor: () => undefined }
   ]
 }
 
-const measure = async (wayIndex: number, atOnce: number): Promise<Row> => {
+const measure = async (variantIndex: number, concurrency: number): Promise<Row> => {
   const store = new MemoryStore()
-  store.delayMs = storeMs
-  const way = ways(store)[wayIndex]
-  if (way === undefined) throw new Error(`there is no way ${wayIndex}`)
+  store.delayMs = storeLatencyMs
+  const variant = variants(store)[variantIndex]
+  if (variant === undefined) throw new Error(`no variant with index ${variantIndex}`)
   let failed = 0
-  const sample = await repeat(requests, atOnce, async index => {
-    const claims = way.claimsFor(index)
+  const sample = await repeat(requests, concurrency, async index => {
+    const claims = variant.claimsFor(index)
     if (claims === undefined) return
     const bound = await claims.bind(claimId(team, RequestKey.parse(`key-${index}`)), binding())
     if (bound.isErr()) failed += 1
   })
   const { reads, writes } = store.calls
   return {
-    way: way.name,
-    'at once': atOnce,
+    way: variant.name,
+    'at once': concurrency,
     'reads/request': rounded(reads / requests),
     'writes/request': rounded(writes / requests),
     'p50 ms': rounded(sample.percentile(50)),
@@ -68,9 +69,9 @@
 
 export const claims = async (): Promise<void> => {
   const rows: Row[] = []
-  const { length } = ways(new MemoryStore())
-  for (let way = 0; way < length; way++) {
-    for (const atOnce of [4, 32, 256]) rows.push(await measure(way, atOnce))
+  const { length } = variants(new MemoryStore())
+  for (let index = 0; index < length; index++) {
+    for (const concurrency of [4, 32, 256]) rows.push(await measure(index, concurrency))
   }
-  await publish({ name: 'claims', about: `${requests} keys through ${entries} entries, a store that takes ${storeMs} ms a call`, rows })
+  await publish({ name: 'claims', about: `${requests} keys through ${entries} entries, a store that takes ${storeLatencyMs} ms a call`, rows })
 }
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,2 +1,2 @@
-/** Measurements, and the table of where service is lost. */
+/** The analysis of late and failed requests in entry logs, for its tests. */
 export * from './losses.js'
--- a/packages/bench/src/losses.ts
+++ b/packages/bench/src/losses.ts
@@ -1,7 +1,8 @@
 /**
- * Where service is lost: a table by route and one by moment, from the entries' lines `request.ended`.
+ * `npm run bench -- losses FILE`: why requests were late or not served, from the `request.ended` events in the log of an entry.
  *
- * Lines may have something before them on the same line, as log collectors put it there; what is no such line is skipped.
+ * One table counts causes by route, the other counts results in intervals of five seconds. Log collectors prefix lines with
+ * their own fields, so a line is parsed from its first brace on; other lines are skipped.
  */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
@@ -22,22 +23,22 @@
 })
 export type EndedLine = z.infer<typeof EndedLine>
 
-/** A part of the objective spent on one thing makes that the cause of being late. */
-const mainShare = 0.5
-const momentMs = 5000
+/** A stage that takes more than this share of the latency objective is the cause of lateness. */
+const dominantShare = 0.5
+const intervalMs = 5000
 
-const lateCause = ({ objectiveMs = Infinity, firstTriedMs, waitedMs, sentAtMs = 0, firstByteMs = 0 }: EndedLine): string => {
+const latenessCause = ({ objectiveMs = Infinity, firstTriedMs, waitedMs, sentAtMs = 0, firstByteMs = 0 }: EndedLine): string => {
   if (firstTriedMs + firstByteMs <= objectiveMs) return 'in time'
-  if (firstTriedMs > objectiveMs * mainShare) return 'late: came back'
-  if (waitedMs > objectiveMs * mainShare) return 'late: waited for an adapter or a place'
-  if (firstByteMs - sentAtMs > objectiveMs * mainShare) return 'late: at the server'
+  if (firstTriedMs > objectiveMs * dominantShare) return 'late: came back'
+  if (waitedMs > objectiveMs * dominantShare) return 'late: waited for an adapter or a place'
+  if (firstByteMs - sentAtMs > objectiveMs * dominantShare) return 'late: at the server'
   return 'late: several'
 }
 
-/** By the first word of the outcome. */
+/** The cause of a request by the first word of its outcome. */
 const causes: Record<string, (line: EndedLine) => string> = {
-  streamed: lateCause,
-  answered: line => line.outcome.startsWith('answered 2') ? lateCause(line) : `${line.outcome} by the server`,
+  streamed: latenessCause,
+  answered: line => line.outcome.startsWith('answered 2') ? latenessCause(line) : `${line.outcome} by the server`,
   refused: line => `refused: ${line.reason}`,
   failed: line => `failed: ${line.reason}`,
   caller_left: line => line.sentAtMs === undefined ? 'left while waiting' : 'left while at the server'
@@ -48,7 +49,7 @@
   return causes[kind]?.(line) ?? line.outcome
 }
 
-/** The line as an entry wrote it, if it is the end of a request. */
+/** The event on a line of a log; `undefined` if the line is not a valid `request.ended` event. */
 export const parseEnded = (text: string): EndedLine | undefined => {
   const start = text.indexOf('{')
   if (start < 0 || !text.includes('"request.ended"')) return undefined
@@ -60,48 +61,49 @@
 }
 
 export interface Losses {
-  /** For each route its causes, the most frequent first. */
+  /** A row for each route and cause, the most frequent cause of a route first. */
   byRoute: Row[]
+  /** A row for each interval, with the requests that ended in it by result. */
   byMoment: Row[]
 }
 
-/** What a caller got, in one word. */
-const fateOf = (cause: string): string => cause === 'in time' ? 'in time' : cause.startsWith('late') ? 'late' : 'not served'
+/** What the caller got: an answer in time, a late one, or none. */
+const resultOf = (cause: string): string => cause === 'in time' ? 'in time' : cause.startsWith('late') ? 'late' : 'not served'
 
-const counted = (names: readonly string[]): Map<string, number> => {
+const countByName = (names: readonly string[]): Map<string, number> => {
   const counts = new Map<string, number>()
   for (const name of names) counts.set(name, (counts.get(name) ?? 0) + 1)
   return counts
 }
 
-/** The causes of all lines of one name, by name. */
-const groups = (lines: readonly EndedLine[], nameOf: (line: EndedLine) => string): Array<[name: string, causes: string[]]> => {
-  const all = new Map<string, string[]>()
+/** The causes of the lines of each group, sorted by the name of the group. */
+const causesByGroup = (lines: readonly EndedLine[], groupOf: (line: EndedLine) => string): Array<[name: string, causes: string[]]> => {
+  const byName = new Map<string, string[]>()
   for (const line of lines) {
-    const name = nameOf(line)
-    const causes = all.get(name) ?? []
+    const name = groupOf(line)
+    const causes = byName.get(name) ?? []
     causes.push(causeOf(line))
-    all.set(name, causes)
+    byName.set(name, causes)
   }
-  return [...all].sort(([a], [b]) => a < b ? -1 : 1)
+  return [...byName].sort(([a], [b]) => a < b ? -1 : 1)
 }
 
-const momentOf = ({ at }: EndedLine): string => new Date(Math.floor(Date.parse(at) / momentMs) * momentMs).toISOString()
+const intervalStart = ({ at }: EndedLine): string => new Date(Math.floor(Date.parse(at) / intervalMs) * intervalMs).toISOString()
 
 export const lossesOf = (lines: readonly EndedLine[]): Losses => ({
-  byRoute: groups(lines, line => line.route ?? 'no route').flatMap(([route, causes]) =>
-    [...counted(causes)].sort(([, a], [, b]) => b - a).map(([cause, requests]) => ({ route, cause, requests }))),
-  byMoment: groups(lines, momentOf).map(([moment, causes]) => {
-    const fates = counted(causes.map(fateOf))
-    return { moment, 'in time': fates.get('in time') ?? 0, late: fates.get('late') ?? 0, 'not served': fates.get('not served') ?? 0 }
+  byRoute: causesByGroup(lines, line => line.route ?? 'no route').flatMap(([route, causes]) =>
+    [...countByName(causes)].sort(([, a], [, b]) => b - a).map(([cause, requests]) => ({ route, cause, requests }))),
+  byMoment: causesByGroup(lines, intervalStart).map(([moment, causes]) => {
+    const results = countByName(causes.map(resultOf))
+    return { moment, 'in time': results.get('in time') ?? 0, late: results.get('late') ?? 0, 'not served': results.get('not served') ?? 0 }
   })
 })
 
 export const readLosses = async (path: string): Promise<Losses> => {
-  const ended: EndedLine[] = []
+  const lines: EndedLine[] = []
   for await (const text of createInterface({ input: createReadStream(path) })) {
     const line = parseEnded(text)
-    if (line !== undefined) ended.push(line)
+    if (line !== undefined) lines.push(line)
   }
-  return lossesOf(ended)
+  return lossesOf(lines)
 }
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- NAME`: runs one measurement, prints its table and keeps it as JSON. `losses FILE` prints where the
- * requests of a log went, and keeps nothing.
+ * `npm run bench -- NAME`: runs one measurement, prints its table and writes it as JSON. `losses FILE` analyses the log of an
+ * entry instead; it prints its tables and writes nothing.
  */
 import { capacity } from './capacity.js'
 import { claims } from './claims.js'
--- a/packages/bench/src/path.ts
+++ b/packages/bench/src/path.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench -- path`: what entry and side process add to a request, against the stand-in engine alone.
+ * `npm run bench -- path`: latency, CPU time and memory that the entry and the side process add to a request, compared with
+ * sending it to the stand-in engine directly. Both are measured in the same run.
  */
 import { Agent, request } from 'undici'
 import { publish, rounded, type Row } from './report.js'
@@ -9,31 +10,31 @@
 const warmUps = 200
 const requests = 600
 const openStreams = 400
-const longStream = 100
+const longStreamTokens = 100
 const slowTokenMs = 100
 const settleMs = 1500
 
 const agent = new Agent({ connections: 1024, pipelining: 1 })
 
-interface Way {
+interface Target {
   name: string
   url: string
   headers: Record<string, string>
   model: string
 }
 
-const ask = async ({ url, headers, model }: Way, index: number, stream: boolean, maxTokens = 1): Promise<Awaited<ReturnType<typeof request>>> => {
+const send = async ({ url, headers, model }: Target, index: number, stream: boolean, maxTokens = 1): Promise<Awaited<ReturnType<typeof request>>> => {
   const body = JSON.stringify({ model, prompt: `p${index}`, max_tokens: maxTokens, stream })
   return await request(url, { dispatcher: agent, method: 'POST', headers: { 'content-type': 'application/json', 'x-request-id': `r${index}`, 'x-fence': '1', ...headers }, body })
 }
 
-const askWhole = (way: Way, stream: boolean) => async (index: number): Promise<void> => {
-  const reply = await ask(way, index, stream)
+const sendAndReadAll = (target: Target, stream: boolean) => async (index: number): Promise<void> => {
+  const reply = await send(target, index, stream)
   const text = await reply.body.text()
-  if (reply.statusCode !== 200 || (stream && !text.includes('[DONE]'))) throw new Error(`${way.name}: ${reply.statusCode} ${text}`)
+  if (reply.statusCode !== 200 || (stream && !text.includes('[DONE]'))) throw new Error(`${target.name}: ${reply.statusCode} ${text}`)
 }
 
-const used = (before: Usage[], after: Usage[]): number =>
+const cpuSecondsBetween = (before: Usage[], after: Usage[]): number =>
   after.reduce((sum, usage, index) => sum + usage.cpuSeconds - (before[index]?.cpuSeconds ?? 0), 0)
 
 const row = (name: string, direct: Sample, through: Sample, cpuSeconds: number[]): Row => {
@@ -51,10 +52,10 @@
   }
 }
 
-/** Bytes that each process holds for one open stream that moves slowly. */
-const streamBytes = async (way: Way, pids: Array<number | undefined>): Promise<number[]> => {
+/** Growth of each process's resident memory per open stream, with `openStreams` slow ones open. */
+const streamBytes = async (target: Target, pids: Array<number | undefined>): Promise<number[]> => {
   const before = await Promise.all(pids.map(usageOf))
-  const replies = await Promise.all(Array.from({ length: openStreams }, (_, index) => ask(way, index, true, longStream)))
+  const replies = await Promise.all(Array.from({ length: openStreams }, (_, index) => send(target, index, true, longStreamTokens)))
   await new Promise(resolve => setTimeout(resolve, settleMs))
   const after = await Promise.all(pids.map(usageOf))
   for (const { body } of replies) body.on('error', () => {}).destroy()
@@ -62,29 +63,29 @@
 }
 
 export const path = async (): Promise<void> => {
-  const rig = new Rig()
-  await rig.start()
-  const side = await rig.engineSide('engine-0')
-  const entry = await rig.entry('entry-0')
-  await rig.apply(entry, benchConfiguration(1), 0)
-  const through: Way = { name: 'through', url: `${entry.url('callers')}/v1/completions`, headers: { authorization: `Bearer ${callerToken}` }, model: 'bench/a0' }
-  await askWhole(through, false)(0)
-  const [label] = rig.engine.engine.loaded
-  const direct: Way = { name: 'direct', url: `${rig.origins.engine}/v1/completions`, headers: {}, model: label ?? '' }
+  const cluster = new Rig()
+  await cluster.start()
+  const side = await cluster.engineSide('engine-0')
+  const entry = await cluster.entry('entry-0')
+  await cluster.apply(entry, benchConfiguration(1), 0)
+  const through: Target = { name: 'through', url: `${entry.url('callers')}/v1/completions`, headers: { authorization: `Bearer ${callerToken}` }, model: 'bench/a0' }
+  await sendAndReadAll(through, false)(0)
+  const [label] = cluster.engine.engine.loaded
+  const direct: Target = { name: 'direct', url: `${cluster.origins.engine}/v1/completions`, headers: {}, model: label ?? '' }
   const pids = [entry.child.pid, side.child.pid]
   const rows: Row[] = []
-  for (const [stream, atOnce] of [[false, 1], [false, 16], [true, 1], [true, 16]] as const) {
-    for (const way of [direct, through]) await repeat(warmUps, atOnce, askWhole(way, stream))
-    const alone = await repeat(requests, atOnce, askWhole(direct, stream))
+  for (const [stream, concurrency] of [[false, 1], [false, 16], [true, 1], [true, 16]] as const) {
+    for (const target of [direct, through]) await repeat(warmUps, concurrency, sendAndReadAll(target, stream))
+    const directSample = await repeat(requests, concurrency, sendAndReadAll(direct, stream))
     const before = await Promise.all(pids.map(usageOf))
-    const sample = await repeat(requests, atOnce, askWhole(through, stream))
+    const throughSample = await repeat(requests, concurrency, sendAndReadAll(through, stream))
     const after = await Promise.all(pids.map(usageOf))
-    rows.push(row(`${stream ? 'stream' : 'whole'}, ${atOnce} at once`, alone, sample, pids.map((_, index) => used([before[index] as Usage], [after[index] as Usage]))))
+    rows.push(row(`${stream ? 'stream' : 'whole'}, ${concurrency} at once`, directSample, throughSample, pids.map((_, index) => cpuSecondsBetween([before[index] as Usage], [after[index] as Usage]))))
   }
-  rig.engine.engine.tokenMs = slowTokenMs
+  cluster.engine.engine.tokenMs = slowTokenMs
   const [entryBytes, sideBytes] = await streamBytes(through, pids)
   rows.push({ request: `open stream, ${openStreams} at once`, 'entry bytes': entryBytes ?? NaN, 'side bytes': sideBytes ?? NaN })
-  await rig.stop()
+  await cluster.stop()
   await agent.destroy()
   await publish({ name: 'path', about: `${requests} requests of one token each way, in one run; CPU by the kernel's count`, rows })
 }
--- a/packages/bench/src/report.ts
+++ b/packages/bench/src/report.ts
@@ -1,5 +1,5 @@
 /**
- * Reports: one table on standard output and the same figures as JSON under docs/measurements.
+ * Reports of measurements: a table on standard output, and the same figures as JSON in docs/measurements.
  */
 import { mkdir, writeFile } from 'node:fs/promises'
 import { cpus } from 'node:os'
@@ -8,15 +8,15 @@
 
 export interface Report {
   name: string
-  /** How the figures came about, for whoever reads the JSON alone. */
+  /** How the figures were measured, for readers of the JSON file alone. */
   about: string
   rows: Row[]
 }
 
-const folder = new URL('../../../docs/measurements/', import.meta.url)
-const significant = 3
+const reportFolder = new URL('../../../docs/measurements/', import.meta.url)
+const significantDigits = 3
 
-export const rounded = (value: number): number => Number(value.toPrecision(significant))
+export const rounded = (value: number): number => Number(value.toPrecision(significantDigits))
 
 export const printTable = (rows: Row[]): string => {
   const columns = [...new Set(rows.flatMap(row => Object.keys(row)))]
@@ -27,7 +27,7 @@
 
 export const publish = async (report: Report): Promise<void> => {
   process.stdout.write(`\n${report.name}: ${report.about}\n\n${printTable(report.rows)}\n`)
-  await mkdir(folder, { recursive: true })
+  await mkdir(reportFolder, { recursive: true })
   const machine = { node: process.version, cpus: cpus().length }
-  await writeFile(new URL(`${report.name}.json`, folder), `${JSON.stringify({ ...report, machine }, null, 2)}\n`)
+  await writeFile(new URL(`${report.name}.json`, reportFolder), `${JSON.stringify({ ...report, machine }, null, 2)}\n`)
 }
--- a/packages/bench/src/rig.ts
+++ b/packages/bench/src/rig.ts
@@ -1,5 +1,6 @@
 /**
- * A rig for measurements: stand-ins in this process, the system in real processes beside it.
+ * The environment of a measurement: entries and side processes as processes of their own, so that the kernel counts their CPU
+ * time and memory; stand-ins for the platform and the backend servers inside the benchmark's process.
  */
 import { ModelName, Revision, ServiceName, type Serving } from '@finchpitch/core'
 import { OperatorClient } from '@finchpitch/operators'
@@ -50,7 +51,7 @@
   async apply (entry: Daemon, configuration: unknown, base: number): Promise<number> {
     const client = new OperatorClient({ origin: entry.url('operators'), token: operatorToken })
     const reply = (await client.apply({ configuration, base: Revision.parse(base), actor: 'bench', note: '' }))._unsafeUnwrap()
-    if (reply.kind !== 'applied') throw new Error(`not applied: ${JSON.stringify(reply)}`)
+    if (reply.kind !== 'applied') throw new Error(`configuration not applied: ${JSON.stringify(reply)}`)
     return reply.revision
   }
 
--- a/packages/bench/src/sample.ts
+++ b/packages/bench/src/sample.ts
@@ -1,21 +1,21 @@
 /**
- * Samples of durations, and what a process has used by the kernel's count.
+ * Durations of repeated tasks, and the CPU time and memory of a process as the kernel reports them.
  */
 import { readFile } from 'node:fs/promises'
 import { build, type Histogram } from 'hdr-histogram-js'
 
-const microseconds = 1000
+const microsecondsPerMs = 1000
 
 export class Sample {
   readonly #histogram: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 600_000_000, numberOfSignificantValueDigits: 3 })
 
   add (ms: number): void {
-    this.#histogram.recordValue(Math.max(1, Math.round(ms * microseconds)))
+    this.#histogram.recordValue(Math.max(1, Math.round(ms * microsecondsPerMs)))
   }
 
-  /** In milliseconds. */
+  /** The percentile in milliseconds. */
   percentile (percent: number): number {
-    return this.#histogram.getValueAtPercentile(percent) / microseconds
+    return this.#histogram.getValueAtPercentile(percent) / microsecondsPerMs
   }
 
   get count (): number {
@@ -23,8 +23,8 @@
   }
 }
 
-/** Runs `task` so many times, so many at once; the time of each goes into the sample. */
-export const repeat = async (count: number, atOnce: number, task: (index: number) => Promise<void>): Promise<Sample> => {
+/** Runs `task` `count` times with `concurrency` runs at a time, and records the duration of each. */
+export const repeat = async (count: number, concurrency: number, task: (index: number) => Promise<void>): Promise<Sample> => {
   const sample = new Sample()
   let next = 0
   const worker = async (): Promise<void> => {
@@ -35,7 +35,7 @@
       sample.add(performance.now() - startedAt)
     }
   }
-  await Promise.all(Array.from({ length: atOnce }, worker))
+  await Promise.all(Array.from({ length: concurrency }, worker))
   return sample
 }
 
@@ -47,10 +47,10 @@
 const clockTicksPerSecond = 100
 const pageBytes = 4096
 
-/** Reads what the kernel has counted for a process, which costs the process nothing. */
+/** Reads a process's CPU time and memory from /proc, which adds no work to the process itself. */
 export const usageOf = async (pid: number | undefined): Promise<Usage> => {
   const stat = await readFile(`/proc/${pid ?? 'self'}/stat`, 'utf8')
-  // The name, in parentheses, may hold spaces; fields are counted from after it.
+  // The second field, the command name in parentheses, may contain spaces: split only what follows it.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ').map(Number)
   const [user, system, resident] = [fields[11] ?? NaN, fields[12] ?? NaN, fields[21] ?? NaN]
   return { cpuSeconds: (user + system) / clockTicksPerSecond, residentBytes: resident * pageBytes }
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -1,11 +1,14 @@
-/** `finchpitch apply`: makes a folder's declarations the configuration in force. */
+/**
+ * `finchpitch apply`: applies a folder's declarations to the configuration in force. The request carries the revision that the
+ * difference was computed against, so that a concurrent change ends in a conflict and is not overwritten.
+ */
 import { userInfo } from 'node:os'
 import { Args, Flags } from '@oclif/core'
 import type { ApplyReply } from '@finchpitch/operators'
 import { difference, printDifference, withoutPruning } from '../difference.js'
 import { OperatorCommand, exitCodes } from '../operator-command.js'
 
-const exits: Record<ApplyReply['kind'], number> = {
+const exitCodeByReply: Record<ApplyReply['kind'], number> = {
   applied: 0,
   unchanged: 0,
   conflict: exitCodes.conflict,
@@ -41,13 +44,13 @@
     const declared = await this.declarationsOrExit(args.folder)
     const client = this.client(flags)
     const { revision, configuration } = await this.inForce(client)
-    const wanted = flags.prune ? declared : withoutPruning(configuration, declared)
-    const differences = difference(configuration, wanted)
+    const target = flags.prune ? declared : withoutPruning(configuration, declared)
+    const differences = difference(configuration, target)
     this.log(printDifference(differences))
     if (flags['dry-run']) return { differences }
-    const reply = this.valueOrExit(await client.apply({ configuration: wanted, base: revision, actor: flags.actor, note: flags.note }))
+    const reply = this.valueOrExit(await client.apply({ configuration: target, base: revision, actor: flags.actor, note: flags.note }))
     this.log(describe(reply))
-    if (exits[reply.kind] !== 0) this.exit(exits[reply.kind])
+    if (exitCodeByReply[reply.kind] !== 0) this.exit(exitCodeByReply[reply.kind])
     return { differences, reply }
   }
 }
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,4 +1,4 @@
-/** `finchpitch check`: checks declarations without an entry. */
+/** `finchpitch check`: validates declarations without contacting an entry. */
 import { Args, Command } from '@oclif/core'
 import { printFindings } from '@finchpitch/core'
 import { readDeclarations } from '../declarations.js'
--- a/packages/cli/src/commands/diff.ts
+++ b/packages/cli/src/commands/diff.ts
@@ -1,4 +1,4 @@
-/** `finchpitch diff`: what applying a folder would change. */
+/** `finchpitch diff`: shows what applying a folder would change. */
 import { Args, Flags } from '@oclif/core'
 import { difference, printDifference, withoutPruning, type Difference } from '../difference.js'
 import { OperatorCommand } from '../operator-command.js'
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -1,4 +1,4 @@
-/** `finchpitch get`: the configuration in force, as YAML that can be applied again. */
+/** `finchpitch get`: prints the configuration in force as YAML that `finchpitch apply` accepts. */
 import { stringify } from 'yaml'
 import { OperatorCommand } from '../operator-command.js'
 
--- a/packages/cli/src/commands/history.ts
+++ b/packages/cli/src/commands/history.ts
@@ -1,4 +1,4 @@
-/** `finchpitch history`: the last changes, newest first. */
+/** `finchpitch history`: lists the most recent changes, newest first. */
 import { OperatorCommand } from '../operator-command.js'
 
 export default class History extends OperatorCommand {
--- a/packages/cli/src/commands/index.ts
+++ b/packages/cli/src/commands/index.ts
@@ -1,4 +1,4 @@
-/** The commands of `finchpitch`, by name. */
+/** The commands of `finchpitch` by name; a colon stands for the space between a topic and its command. */
 import Apply from './apply.js'
 import Check from './check.js'
 import Diff from './diff.js'
--- a/packages/cli/src/commands/log-level.ts
+++ b/packages/cli/src/commands/log-level.ts
@@ -1,4 +1,4 @@
-/** `finchpitch logs level`: changes a process's log level while it runs. */
+/** `finchpitch logs level`: changes the log level of a running process. */
 import { Args } from '@oclif/core'
 import { LogLevelBody } from '@finchpitch/operators'
 import { OperatorCommand } from '../operator-command.js'
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,11 +1,11 @@
-/** `finchpitch status`: each process, its revision, and how much it has to do. */
+/** `finchpitch status`: lists the processes with the configuration revision and the load of each. */
 import type { ProcessStatus } from '@finchpitch/operators'
 import { OperatorCommand } from '../operator-command.js'
 
-const stateOf = ({ leaving, revision: held }: ProcessStatus, revision: number): string => {
+const describeState = ({ leaving, revision: processRevision }: ProcessStatus, revision: number): string => {
   if (leaving) return 'leaving'
-  if (held === undefined) return 'not connected to this entry'
-  return held < revision ? `behind by ${revision - held}` : 'up to date'
+  if (processRevision === undefined) return 'not connected to this entry'
+  return processRevision < revision ? `behind by ${revision - processRevision}` : 'up to date'
 }
 
 export default class Status extends OperatorCommand {
@@ -17,7 +17,7 @@
     this.log(`revision ${reply.revision}`)
     for (const each of reply.processes) {
       const load = each.running === undefined ? '' : `${each.running} running, ${each.waiting ?? 0} waiting`
-      this.log([each.process.padEnd(20), each.role.padEnd(6), each.domain.padEnd(12), (each.serving ?? '').padEnd(24), stateOf(each, reply.revision).padEnd(30), load].join(''))
+      this.log([each.process.padEnd(20), each.role.padEnd(6), each.domain.padEnd(12), (each.serving ?? '').padEnd(24), describeState(each, reply.revision).padEnd(30), load].join(''))
     }
     return reply
   }
--- a/packages/cli/src/commands/wait.ts
+++ b/packages/cli/src/commands/wait.ts
@@ -1,14 +1,17 @@
-/** `finchpitch wait`: waits until a revision is in force at the entry and the processes that it is connected to. */
+/**
+ * `finchpitch wait`: polls until the entry and all processes that it is connected to have at least a given revision. Processes
+ * without a connection to the entry are not waited for.
+ */
 import { Args, Flags } from '@oclif/core'
 import { pause } from '@finchpitch/core'
 import type { StatusReply } from '@finchpitch/operators'
 import { OperatorCommand, exitCodes } from '../operator-command.js'
 
-const askMs = 250
+const pollIntervalMs = 250
 
-const behind = ({ revision, processes }: StatusReply, wanted: number): string[] => [
-  ...revision < wanted ? ['this entry'] : [],
-  ...processes.filter(each => each.revision !== undefined && each.revision < wanted).map(each => each.process)
+const outdatedProcesses = ({ revision, processes }: StatusReply, target: number): string[] => [
+  ...revision < target ? ['this entry'] : [],
+  ...processes.filter(each => each.revision !== undefined && each.revision < target).map(each => each.process)
 ]
 
 export default class Wait extends OperatorCommand {
@@ -22,16 +25,16 @@
     const deadline = Date.now() + flags.seconds * 1000
     while (true) {
       const status = this.valueOrExit(await client.status())
-      const late = behind(status, args.revision)
-      if (late.length === 0) {
+      const outdated = outdatedProcesses(status, args.revision)
+      if (outdated.length === 0) {
         this.log(`revision ${args.revision} is in force`)
         return { revision: args.revision, behind: [] }
       }
       if (Date.now() > deadline) {
-        this.logToStderr(`still behind: ${late.join(', ')}`)
+        this.logToStderr(`still behind: ${outdated.join(', ')}`)
         this.exit(exitCodes.failed)
       }
-      await pause(askMs)
+      await pause(pollIntervalMs)
     }
   }
 }
--- a/packages/cli/src/difference.ts
+++ b/packages/cli/src/difference.ts
@@ -1,5 +1,5 @@
 /**
- * The difference between two configurations, by name.
+ * The difference between two configurations: elements added, changed and removed, matched by name.
  */
 import { adapterId, type Configuration } from '@finchpitch/core'
 
@@ -14,29 +14,29 @@
 
 const nameOf = (element: Element): string => 'team' in element ? adapterId(element) : element.name
 
-const byName = (elements: readonly Element[]): Map<string, Element> =>
+const elementsByName = (elements: readonly Element[]): Map<string, Element> =>
   new Map(elements.map(element => [nameOf(element), element]))
 
 const kinds: Kind[] = ['teams', 'models', 'services', 'adapters']
 
 export const difference = (from: Configuration, to: Configuration): Difference[] => kinds.flatMap(kind => {
-  const before = byName(from[kind])
-  const after = byName(to[kind])
-  const gone = [...before.keys()].filter(name => !after.has(name))
-  const present = [...after].flatMap(([name, element]): Difference[] => {
-    const old = before.get(name)
-    if (old === undefined) return [{ kind, name, change: 'added' }]
-    return JSON.stringify(old) === JSON.stringify(element) ? [] : [{ kind, name, change: 'changed' }]
+  const before = elementsByName(from[kind])
+  const after = elementsByName(to[kind])
+  const removedNames = [...before.keys()].filter(name => !after.has(name))
+  const current = [...after].flatMap(([name, element]): Difference[] => {
+    const previous = before.get(name)
+    if (previous === undefined) return [{ kind, name, change: 'added' }]
+    return JSON.stringify(previous) === JSON.stringify(element) ? [] : [{ kind, name, change: 'changed' }]
   })
-  return [...present, ...gone.map((name): Difference => ({ kind, name, change: 'removed' }))]
+  return [...current, ...removedNames.map((name): Difference => ({ kind, name, change: 'removed' }))]
 })
 
 const overlay = <E extends Element>(base: readonly E[], top: readonly E[]): E[] => {
-  const declared = new Set(top.map(nameOf))
-  return [...base.filter(element => !declared.has(nameOf(element))), ...top]
+  const topNames = new Set(top.map(nameOf))
+  return [...base.filter(element => !topNames.has(nameOf(element))), ...top]
 }
 
-/** What is declared, on top of what is in force: nothing is removed. */
+/** The configuration in force with each declared element added, or replacing the one of its name. Nothing is removed. */
 export const withoutPruning = (inForce: Configuration, declared: Configuration): Configuration => ({
   teams: overlay(inForce.teams, declared.teams),
   models: overlay(inForce.models, declared.models),
@@ -44,7 +44,7 @@
   adapters: overlay(inForce.adapters, declared.adapters)
 })
 
-const signs = { added: '+', changed: '~', removed: '-' } as const
+const changeSymbols = { added: '+', changed: '~', removed: '-' } as const
 
 export const printDifference = (differences: Difference[]): string =>
-  differences.map(({ kind, name, change }) => `${signs[change]} ${kind} ${name}`).join('\n')
+  differences.map(({ kind, name, change }) => `${changeSymbols[change]} ${kind} ${name}`).join('\n')
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The operators' command line: declarations and their difference, for tests and other tools. */
+/** The operators' command line: its commands, and the reading and comparing of declarations for tests and other tools. */
 export * from './declarations.js'
 export * from './difference.js'
 export * from './operator-command.js'
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -1,5 +1,5 @@
 /**
- * What the operators' commands share: the entry's address, the token, findings and exit codes.
+ * The base of the commands that call an entry: its address and token, the printing of findings, and exit codes.
  */
 import { Command, Flags } from '@oclif/core'
 import { printFindings, type Configuration, type Finding } from '@finchpitch/core'
@@ -8,13 +8,13 @@
 import { readDeclarations } from './declarations.js'
 
 export const exitCodes = {
-  /** The operation was refused or did not come about. */
+  /** The operation was refused or did not succeed. */
   failed: 1,
   /** The declarations or the arguments are not valid. */
   invalid: 2,
-  /** Somebody else's change came first. */
+  /** The configuration was changed by somebody else in the meantime. */
   conflict: 3,
-  /** The entry could not be asked, or it is not known whether the change was accepted. */
+  /** The entry could not be reached, or it is unknown whether the change was accepted. */
   unsettled: 4
 } as const
 
--- a/packages/cli/test/commands.test.ts
+++ b/packages/cli/test/commands.test.ts
@@ -9,7 +9,7 @@
 
 const binary = createRequire(import.meta.url).resolve('@finchpitch/cli/bin/finchpitch.js')
 
-interface Ended {
+interface Exit {
   code: number
   out: string
   error: string
@@ -20,14 +20,14 @@
   let system: SmallSystem
   let folder: string
 
-  const finchpitch = async (...args: string[]): Promise<Ended> => await new Promise(resolve => {
+  const finchpitch = async (...args: string[]): Promise<Exit> => await new Promise(resolve => {
     const env = { ...process.env, FINCHPITCH_ENTRY: system.daemon('entry-0').url('operators'), FINCHPITCH_TOKEN: operatorToken }
     execFile(process.execPath, [binary, ...args], { env }, (error, out, text) => {
       resolve({ code: typeof error?.code === 'number' ? error.code : 0, out, error: text })
     })
   })
 
-  const declare = async (configuration: unknown): Promise<void> => await writeFile(join(folder, 'all.yaml'), stringify(configuration))
+  const writeDeclarations = async (configuration: unknown): Promise<void> => await writeFile(join(folder, 'all.yaml'), stringify(configuration))
 
   before(async () => {
     system = await SmallSystem.start()
@@ -39,8 +39,8 @@
     await rm(folder, { recursive: true })
   })
 
-  it('check, compare, apply and show declarations', async () => {
-    await declare({ ...smallConfiguration, models: [{ name: 'base-7b' }, { name: 'base-13b' }] })
+  it('validate, compare, apply and print declarations', async () => {
+    await writeDeclarations({ ...smallConfiguration, models: [{ name: 'base-7b' }, { name: 'base-13b' }] })
     expect((await finchpitch('check', folder)).out).to.equal('2 teams, 2 models, 1 services, 2 adapters\n')
     expect((await finchpitch('diff', folder)).out).to.equal('+ models base-13b\n')
     expect((await finchpitch('apply', folder, '--dry-run')).out).to.equal('+ models base-13b\n')
@@ -53,20 +53,20 @@
     expect((await finchpitch('logs', 'level', 'warn')).out).to.equal('log level warn\n')
   })
 
-  it('remove what is not declared only when asked to', async () => {
-    await declare({ ...smallConfiguration, models: [{ name: 'base-7b' }] })
+  it('remove undeclared elements only with --prune', async () => {
+    await writeDeclarations({ ...smallConfiguration, models: [{ name: 'base-7b' }] })
     expect((await finchpitch('diff', folder)).out).to.equal('no difference\n')
     expect((await finchpitch('diff', folder, '--prune', '--json')).out).to.contain('"removed"')
   })
 
-  describe('end with', () => {
-    it('2 and every finding for declarations that are not valid', async () => {
-      await declare({ teams: [{ name: 'No Name', tokens: ['short'] }] })
+  describe('exit with', () => {
+    it('2 and all findings for invalid declarations', async () => {
+      await writeDeclarations({ teams: [{ name: 'No Name', tokens: ['short'] }] })
       const { code, error } = await finchpitch('apply', folder)
       expect([code, (error.match(/all\.yaml:/g) ?? []).length]).to.deep.equal([2, 2])
     })
 
-    it('1 for a wrong token and 4 for an entry that can not be reached', async () => {
+    it('1 for a wrong token and 4 for an unreachable entry', async () => {
       expect((await finchpitch('status', '--token', 'wrong')).code).to.equal(1)
       expect((await finchpitch('status', '--entry', 'http://127.0.0.1:1')).code).to.equal(4)
     })
--- a/packages/cli/test/declarations.test.ts
+++ b/packages/cli/test/declarations.test.ts
@@ -20,14 +20,14 @@
 
   afterEach(async () => await rm(folder, { recursive: true }))
 
-  it('are one configuration over many files', async () => {
+  it('are merged from many files into one configuration', async () => {
     await write('teams.yaml', 'teams:\n  - name: quetzal\n    tokens: []\n')
     await write('models.yml', 'models:\n  - name: base-7b\n')
     const read = (await readDeclarations(folder))._unsafeUnwrap()
     expect([read.teams.length, read.models.length]).to.deep.equal([1, 1])
   })
 
-  it('have every finding with its file and line', async () => {
+  it('are reported with all findings, each with its file and line', async () => {
     await write('a.yaml', 'teams:\n  - name: quetzal\n    tokens: [short]\nmodells: []\n')
     await write('b.yaml', 'services:\n  - name: ledger\n    teams: []\n')
     expect(await findings()).to.have.members([
@@ -37,27 +37,27 @@
     ])
   })
 
-  it('name the line of text that is not YAML', async () => {
+  it('are reported with the line of a YAML syntax error', async () => {
     await write('a.yaml', 'teams:\n  - name: [\n')
     expect((await findings())[0]).to.match(/^invalid_syntax a\.yaml:\d+$/)
   })
 
-  it('are not an empty folder', async () => {
+  it('are rejected where a folder has no YAML files', async () => {
     expect(await findings()).to.have.length(1)
   })
 })
 
 describe('difference', () => {
-  const of = (...teams: Array<[string, number]>): ReturnType<typeof withoutPruning> =>
+  const configurationOf = (...teams: Array<[string, number]>): ReturnType<typeof withoutPruning> =>
     check({ teams: teams.map(([name, weight]) => ({ name, weight, tokens: [] })) })._unsafeUnwrap()
 
-  it('names what is added, changed and removed', () => {
-    const text = printDifference(difference(of(['a', 1], ['b', 1]), of(['b', 2], ['c', 1])))
+  it('lists added, changed and removed elements', () => {
+    const text = printDifference(difference(configurationOf(['a', 1], ['b', 1]), configurationOf(['b', 2], ['c', 1])))
     expect(text.split('\n')).to.have.members(['~ teams b', '+ teams c', '- teams a'])
   })
 
-  it('removes nothing unless asked to', () => {
-    const inForce = of(['a', 1], ['b', 1])
-    expect(printDifference(difference(inForce, withoutPruning(inForce, of(['b', 2]))))).to.equal('~ teams b')
+  it('removes nothing without pruning', () => {
+    const inForce = configurationOf(['a', 1], ['b', 1])
+    expect(printDifference(difference(inForce, withoutPruning(inForce, configurationOf(['b', 2]))))).to.equal('~ teams b')
   })
 })
--- a/packages/proofs/src/known-red.ts
+++ b/packages/proofs/src/known-red.ts
@@ -1,16 +1,16 @@
 /**
- * The tests' report, which lets a run pass over the failures that KNOWN-RED.txt lists, and prints them.
+ * A Mocha reporter that keeps the known failures listed in KNOWN-RED.txt from failing a run, and prints them.
  *
- * A line of that file is the full title of a test, then, each after ` | `: the command and seed that show the fault, what was
- * seen, its cause as far as it is known, and the open issue. A test that is not listed fails the run, as does a list of more
- * than three.
+ * Each line of that file has the full title of a test and, separated by ` | `, the command and seed that reproduce the failure,
+ * the observed behaviour, its cause as far as it is known, and the open issue. The run still fails if a test that is not listed
+ * fails, or if the list has more than three lines.
  */
 import { existsSync, readFileSync } from 'node:fs'
 import Mocha from 'mocha'
 
 const listPath = 'KNOWN-RED.txt'
 const separator = ' | '
-const mostListed = 3
+const maxListed = 3
 
 const listedTitles = (): Map<string, string> => {
   if (!existsSync(listPath)) return new Map()
@@ -19,22 +19,22 @@
 }
 
 export default class KnownRed extends Mocha.reporters.Spec {
-  readonly #listed = listedTitles()
-  readonly #failed: string[] = []
+  readonly #listedLines = listedTitles()
+  readonly #failedTitles: string[] = []
 
   constructor (runner: Mocha.Runner, options: Mocha.MochaOptions) {
     super(runner, options)
-    runner.on('fail', test => this.#failed.push(test.fullTitle()))
+    runner.on('fail', test => this.#failedTitles.push(test.fullTitle()))
   }
 
-  /** Called by the runner with the number of failures; what is passed on becomes the exit status. */
+  /** Called by the runner at the end; the number that is passed to `finish` becomes the exit status. */
   override done (_failures: number, finish: (failures: number) => void): void {
-    const known = new Set(this.#failed.filter(title => this.#listed.has(title)))
-    for (const title of known) console.log(`known red, passed over: ${this.#listed.get(title) ?? title}`)
-    for (const title of this.#listed.keys()) if (!known.has(title)) console.log(`listed as known red, and did not fail in this run: ${title}`)
-    const unexpected = this.#failed.filter(title => !this.#listed.has(title)).length
-    const tooMany = this.#listed.size > mostListed
-    if (tooMany) console.log(`${listPath} lists ${this.#listed.size} tests; ${mostListed} are the most`)
+    const known = new Set(this.#failedTitles.filter(title => this.#listedLines.has(title)))
+    for (const title of known) console.log(`known red, passed over: ${this.#listedLines.get(title) ?? title}`)
+    for (const title of this.#listedLines.keys()) if (!known.has(title)) console.log(`listed as known red, and did not fail in this run: ${title}`)
+    const unexpected = this.#failedTitles.filter(title => !this.#listedLines.has(title)).length
+    const tooMany = this.#listedLines.size > maxListed
+    if (tooMany) console.log(`${listPath} lists ${this.#listedLines.size} tests; ${maxListed} are the most`)
     finish(unexpected + Number(tooMany))
   }
 }
--- a/packages/proofs/src/matrix/cluster.ts
+++ b/packages/proofs/src/matrix/cluster.ts
@@ -1,5 +1,6 @@
 /**
- * A small system in one process on a paused clock: the real entry and side code, with stand-ins at the interfaces.
+ * A small cluster in one operating system process, on a clock that moves only as a scenario advances it: the real code of
+ * entries and side processes, with stand-ins for the platform, the network and the backend servers.
  */
 import { Address, FailureDomain, ModelName, ProcessId, RequestKey, Revision, ServiceName, newIncarnation, newRequestId, quietLog, type Answer, type Failure, type Serving } from '@finchpitch/core'
 import { readAsk, type Ask } from '@finchpitch/callers'
@@ -12,13 +13,13 @@
 import { Network } from './network.js'
 
 const token = 'quetzal-token'
-const seeded = (): number => 0.5
+const fixedRandom = (): number => 0.5
 
 export const team = 'quetzal'
 export const service = ServiceName.parse('ledger')
 export const model = ModelName.parse('base-7b')
-const ledgerServing = { kind: 'service', service } as const
-const modelServing = { kind: 'model', model } as const
+const servedService = { kind: 'service', service } as const
+const servedModel = { kind: 'model', model } as const
 
 export const configuration = (note: string): unknown => ({
   teams: [{ name: team, tokens: [hashOfToken(token), hashOfToken(note)] }],
@@ -52,12 +53,12 @@
   slots: number
 }
 
-/** What one caller saw of one try. */
+/** What one caller got for one attempt. */
 export interface Told {
   outcome: 'ran' | 'not_run' | 'unknown' | 'nothing'
   code: Failure['code'] | 'none'
   text: string
-  /** Executions of the request that the backend servers had counted when the caller was told. */
+  /** Executions of the request that the backend servers had counted when the caller got the answer. */
   runsThen: number
 }
 
@@ -69,28 +70,30 @@
   readonly engines: MemoryEngine[] = []
   readonly entries: EntryMember[] = []
   readonly sides: SideMember[] = []
-  /** Revisions as each process took them on, in order. */
+  /** Each change of a process's configuration revision, in order. */
   readonly moves: Array<{ process: string, revision: number, at: number }> = []
   /** Which side process sent which request to its backend server. */
   readonly executions: Array<{ process: string, label: string | undefined }> = []
-  /** The instance list no longer changes. */
+  /** While set, changes to the processes don't show in the instance list. */
   listLags = false
+  /** The side process that most recently handled a request or an adapter load. */
   lastSide: SideMember | undefined
-  #listed: Instance[] = []
-  #armed: { step: Step, strike: () => void } | undefined
-  #ports = 1
+  #instances: Instance[] = []
+  #pendingFault: { step: Step, inject: () => void } | undefined
+  #nextPort = 1
+  /** Whether the registered fault was injected at its step. */
   struck = false
 
   private constructor (readonly time: FakeTime) {
     this.network.spot = (type, from) => {
-      if (type === 'run' || type === 'head' || type === 'chunk' || type === 'end') this.#hit(`frame.${type}`, from)
+      if (type === 'run' || type === 'head' || type === 'chunk' || type === 'end') this.#onStep(`frame.${type}`, from)
     }
   }
 
   static async start (layout: Layout): Promise<Cluster> {
     const cluster = new Cluster(new FakeTime())
-    for (let each = 0; each < layout.services; each++) await cluster.addService(`ledger-${each}`)
-    for (let each = 0; each < layout.engines; each++) await cluster.addEngine(`engine-${each}`, layout.slots)
+    for (let index = 0; index < layout.services; index++) await cluster.addService(`ledger-${index}`)
+    for (let index = 0; index < layout.engines; index++) await cluster.addEngine(`engine-${index}`, layout.slots)
     for (const name of ['entry-0', 'entry-1']) cluster.addEntry(name)
     await cluster.time.pass(100)
     const applied = await cluster.time.until(cluster.apply(0, 'first', 0))
@@ -99,28 +102,28 @@
     return cluster
   }
 
-  /** Runs `strike` when `step` is first reached. */
-  arm (step: Step, strike: () => void): void {
-    this.#armed = { step, strike }
+  /** Registers a fault: runs `inject` once, when `step` is next reached. */
+  arm (step: Step, inject: () => void): void {
+    this.#pendingFault = { step, inject }
   }
 
-  /** Strikes now if the step has not come. */
+  /** Injects the registered fault now if its step has not been reached. */
   strikeAtLast (): void {
-    const armed = this.#armed
-    this.#armed = undefined
-    armed?.strike()
+    const pendingFault = this.#pendingFault
+    this.#pendingFault = undefined
+    pendingFault?.inject()
   }
 
   entry (index: number): EntryMember {
     const member = this.entries[index]
-    if (member === undefined) throw new Error(`there is no entry ${index}`)
+    if (member === undefined) throw new Error(`no entry with index ${index}`)
     return member
   }
 
-  /** The side process that had the last request, or the first one. */
+  /** The side process that most recently handled a request or an adapter load, or the first one if none has. */
   get busySide (): SideMember {
     const member = this.lastSide ?? this.sides[0]
-    if (member === undefined) throw new Error('there is a side process')
+    if (member === undefined) throw new Error('the cluster has no side process')
     return member
   }
 
@@ -150,28 +153,28 @@
     return reply.kind
   }
 
-  booking (key: string | undefined, text: string, firstTry = false): Ask {
-    return this.#ask('service', '/services/ledger/slots', Buffer.from(text), key, firstTry)
+  booking (key: string | undefined, text: string, firstAttempt = false): Ask {
+    return this.#createRequest('service', '/services/ledger/slots', Buffer.from(text), key, firstAttempt)
   }
 
   statement (adapter: string, prompt: string, key?: string): Ask {
     const body = { model: `${team}/${adapter}`, prompt, stream: key === undefined, max_tokens: 8 }
-    return this.#ask('completion', '/v1/completions', Buffer.from(JSON.stringify(body)), key, false)
+    return this.#createRequest('completion', '/v1/completions', Buffer.from(JSON.stringify(body)), key, false)
   }
 
-  /** Asks through one entry and reads the answer to its end. A killed entry tells its caller nothing. */
-  async tell (index: number, ask: Ask, label: string): Promise<Told> {
-    const { entry, guard } = this.entry(index)
-    const told = await this.#read(entry, ask)
-    if (guard.killed) return { outcome: 'nothing', code: 'none', text: '', runsThen: this.runs(label) }
-    await guard.pass()
-    return { ...told, runsThen: this.runs(label) }
+  /** Sends a request to one entry and reads the answer to its end. The caller of a killed entry gets nothing. */
+  async tell (index: number, request: Ask, label: string): Promise<Told> {
+    const { entry, guard: gate } = this.entry(index)
+    const seen = await this.#readAnswer(entry, request)
+    if (gate.killed) return { outcome: 'nothing', code: 'none', text: '', runsThen: this.runs(label) }
+    await gate.pass()
+    return { ...seen, runsThen: this.runs(label) }
   }
 
-  /** How often the backend servers have run the request that carries `label`. */
+  /** Number of executions, at all backend servers, of the request that carries `label`. */
   runs (label: string): number {
-    const changes = this.services.flatMap(each => each.changes).filter(text => text === label)
-    const generations = this.engines.flatMap(each => each.runs).filter(({ prompt }) => prompt === label)
+    const changes = this.services.flatMap(service => service.changes).filter(text => text === label)
+    const generations = this.engines.flatMap(engine => engine.runs).filter(({ prompt }) => prompt === label)
     return changes.length + generations.length
   }
 
@@ -181,8 +184,8 @@
   }
 
   addEntry (name: string): void {
-    const { guard, instance, catalog } = this.#member(name, 'all', undefined)
-    const store = new GuardedStore(guard, this.store)
+    const { guard: gate, instance, catalog } = this.#createMember(name, 'all', undefined)
+    const store = new GuardedStore(gate, this.store)
     const { process, address, domain } = instance
     const entry = new Entry({
       process,
@@ -191,34 +194,34 @@
       catalog,
       incarnation: newIncarnation(),
       address: () => address,
-      instances: new GuardedList(guard, this.#list()),
+      instances: new GuardedList(gate, this.#instanceList()),
       dial: this.network.dialFrom(process),
       log: quietLog,
-      random: seeded
+      random: fixedRandom
     })
     this.network.listen(address, { process, accept: stream => entry.accept(stream) })
-    const operations = new EntryOperations({ process, entry, catalog, store, random: seeded })
+    const operations = new EntryOperations({ process, entry, catalog, store, random: fixedRandom })
     void entry.run()
-    this.entries.push({ guard, instance, catalog, entry, operations, close: () => entry.close() })
-    this.#relist()
+    this.entries.push({ guard: gate, instance, catalog, entry, operations, close: () => entry.close() })
+    this.#refreshInstances()
   }
 
-  async addService (name: string, at = new MemoryService()): Promise<void> {
-    if (!this.services.includes(at)) this.services.push(at)
-    await this.#addSide(name, ledgerServing, async (guard, fence, catalog) =>
-      new ServiceRunner({ service: new GuardedService(guard, at), fence, capacity: 8, catalog }))
+  async addService (name: string, backend = new MemoryService()): Promise<void> {
+    if (!this.services.includes(backend)) this.services.push(backend)
+    await this.#addSide(name, servedService, async (gate, fence, catalog) =>
+      new ServiceRunner({ service: new GuardedService(gate, backend), fence, capacity: 8, catalog }))
   }
 
-  async addEngine (name: string, slots: number, at = new MemoryEngine({ slots, capacity: 4, tokenMs: 20, weights: this.weights, checksFences: true })): Promise<void> {
-    if (!this.engines.includes(at)) this.engines.push(at)
-    await this.#addSide(name, modelServing, async (guard, fence, catalog) => {
-      const engine = new GuardedEngine(guard, at)
+  async addEngine (name: string, slots: number, backend = new MemoryEngine({ slots, capacity: 4, tokenMs: 20, weights: this.weights, checksFences: true })): Promise<void> {
+    if (!this.engines.includes(backend)) this.engines.push(backend)
+    await this.#addSide(name, servedModel, async (gate, fence, catalog) => {
+      const engine = new GuardedEngine(gate, backend)
       const report = (await engine.report())._unsafeUnwrap()
-      return new EngineRunner({ model, engine, fence, report, catalog, log: quietLog, random: seeded })
+      return new EngineRunner({ model, engine, fence, report, catalog, log: quietLog, random: fixedRandom })
     })
   }
 
-  /** Another side process at the backend server of one that is gone, or seemed to be. */
+  /** Starts another side process for the backend server of one that was killed or is paused. */
   async replace (member: SideMember): Promise<void> {
     const index = Number(member.instance.process.split('-')[1] ?? 0) % 10
     const name = `${member.instance.process}-next`
@@ -226,69 +229,69 @@
     else await this.addEngine(name, 2, this.engines[index])
   }
 
-  async #addSide (name: string, serving: Serving, makeRunner: (guard: Guard, fence: number, catalog: Catalog) => Promise<ServiceRunner | EngineRunner>): Promise<void> {
-    const { guard, instance, catalog } = this.#member(name, 'common', serving)
-    const store = new GuardedStore(guard, this.store)
+  async #addSide (name: string, serving: Serving, createRunner: (gate: Guard, fence: number, catalog: Catalog) => Promise<ServiceRunner | EngineRunner>): Promise<void> {
+    const { guard: gate, instance, catalog } = this.#createMember(name, 'common', serving)
+    const store = new GuardedStore(gate, this.store)
     const { process, address, domain } = instance
-    const fence = (await takeFence(store, name.replace('-next', ''), seeded))._unsafeUnwrap()
-    const runner = await makeRunner(guard, fence, catalog)
+    const fence = (await takeFence(store, name.replace('-next', ''), fixedRandom))._unsafeUnwrap()
+    const runner = await createRunner(gate, fence, catalog)
     const incarnation = newIncarnation()
     const side = new Side({ process, incarnation, domain, address: () => address, serving, runner, catalog, log: quietLog, epochMs: defaultEpochMs })
     this.network.listen(address, { process, accept: stream => side.accept(stream) })
-    const ending = new AbortController()
+    const closing = new AbortController()
     const hello = { type: 'hello', protocol: protocolVersion, process, incarnation, address, domain } as const
     const channel = { hello: () => ({ ...hello, revision: catalog.revision }), heartbeat: () => ({ type: 'heartbeat' as const, revision: catalog.revision }) }
     void side.run()
-    void keepUplink({ process, domain, instances: async () => this.#listed, catalog, channel, dial: this.network.dialFrom(process), log: quietLog, random: seeded, signal: ending.signal })
+    void keepUplink({ process, domain, instances: async () => this.#instances, catalog, channel, dial: this.network.dialFrom(process), log: quietLog, random: fixedRandom, signal: closing.signal })
     const close = (): void => {
-      ending.abort()
+      closing.abort()
       side.close()
     }
-    this.sides.push({ guard, instance, catalog, side, close })
-    this.#relist()
+    this.sides.push({ guard: gate, instance, catalog, side, close })
+    this.#refreshInstances()
   }
 
-  #member (name: string, scope: 'all' | 'common', serving: Serving | undefined): Omit<Member, 'close'> {
+  #createMember (name: string, scope: 'all' | 'common', serving: Serving | undefined): Omit<Member, 'close'> {
     const process = ProcessId.parse(name)
-    const address = Address.parse(`127.0.0.1:${this.#ports++}`)
+    const address = Address.parse(`127.0.0.1:${this.#nextPort++}`)
     const role = serving === undefined ? 'entry' as const : 'side' as const
     const instance = { process, address, role, domain: FailureDomain.parse('zone-1'), leaving: false, ...(serving === undefined ? {} : { serving }) }
     const catalog = new Catalog(scope)
     catalog.onMove(revision => this.moves.push({ process, revision, at: Date.now() }))
-    return { guard: new Guard(name, (...hit) => this.#hit(...hit)), instance, catalog }
+    return { guard: new Guard(name, (...args) => this.#onStep(...args)), instance, catalog }
   }
 
-  #list (): InstanceList {
-    return { read: async () => ok(structuredClone(this.#listed)) }
+  #instanceList (): InstanceList {
+    return { read: async () => ok(structuredClone(this.#instances)) }
   }
 
-  #relist (): void {
-    if (!this.listLags) this.#listed = this.members.filter(({ guard }) => !guard.killed).map(({ instance }) => instance)
+  #refreshInstances (): void {
+    if (!this.listLags) this.#instances = this.members.filter(({ guard: gate }) => !gate.killed).map(({ instance }) => instance)
   }
 
-  #hit (step: Step, process: string, label?: string): void {
+  #onStep (step: Step, process: string, label?: string): void {
     const side = this.sides.find(({ instance }) => instance.process === process)
     if (side !== undefined && (step === 'execute' || step === 'load' || step === 'frame.head')) this.lastSide = side
     if (step === 'execute') this.executions.push({ process, label })
-    if (this.#armed?.step !== step) return
-    const { strike } = this.#armed
-    this.#armed = undefined
+    if (this.#pendingFault?.step !== step) return
+    const { inject } = this.#pendingFault
+    this.#pendingFault = undefined
     this.struck = true
-    strike()
+    inject()
   }
 
-  #ask (kind: 'service' | 'completion', path: string, body: Buffer, key: string | undefined, firstTry: boolean): Ask {
+  #createRequest (kind: 'service' | 'completion', path: string, body: Buffer, key: string | undefined, firstAttempt: boolean): Ask {
     const headers = {
       authorization: `Bearer ${token}`,
       'finchpitch-patience-ms': '20000',
-      ...(key === undefined ? {} : { 'idempotency-key': RequestKey.parse(key), 'finchpitch-first-try': firstTry ? 'yes' : 'no' })
+      ...(key === undefined ? {} : { 'idempotency-key': RequestKey.parse(key), 'finchpitch-first-try': firstAttempt ? 'yes' : 'no' })
     }
     return readAsk(kind, { id: newRequestId(), method: 'POST', path, headers, body })._unsafeUnwrap()
   }
 
-  async #read (entry: Entry, ask: Ask): Promise<Omit<Told, 'runsThen'>> {
-    const hangUp = new AbortController()
-    const served: Result<Answer, Failure> = await entry.serve(ask, hangUp.signal)
+  async #readAnswer (entry: Entry, request: Ask): Promise<Omit<Told, 'runsThen'>> {
+    const disconnect = new AbortController()
+    const served: Result<Answer, Failure> = await entry.serve(request, disconnect.signal)
     if (served.isErr()) return { outcome: served.error.outcome, code: served.error.code, text: '' }
     let text = ''
     try {
--- a/packages/proofs/src/matrix/faults.ts
+++ b/packages/proofs/src/matrix/faults.ts
@@ -1,24 +1,24 @@
 /**
- * The faults of the matrix: each strikes at a step and may end later.
+ * The faults of the matrix: each is injected at a step of a scenario, and most are removed again some seconds later.
  */
 import type { Cluster } from './cluster.js'
 
 export interface Fault {
-  /** Takes a backend server away: with one of its kind, nothing is served after it. */
+  /** Takes a backend server out for the rest of the run: a scenario with one server of its kind serves nothing afterwards. */
   forGood?: true
-  /** Leaves a request that runs alone: a planned stop must end it whole all the same. */
+  /** Does not interrupt running requests: draining must still let each of them complete. */
   harmless?: true
   strike: (cluster: Cluster) => void
-  /** Ends it, where it ends; also brings a new process for one that was killed. */
+  /** Removes the fault, or starts a replacement for a killed process; does nothing for a fault without recovery. */
   end: (cluster: Cluster) => Promise<void>
 }
 
-const stays = async (): Promise<void> => {}
+const noRecovery = async (): Promise<void> => {}
 
 export const faults = {
   'entry killed': {
     strike: cluster => cluster.kill(cluster.entry(0)),
-    end: stays
+    end: noRecovery
   },
   'entry paused': {
     strike: cluster => cluster.pause(cluster.entry(0)),
@@ -43,7 +43,7 @@
   },
   'links cut': {
     strike: cluster => cluster.network.cutAll(),
-    end: stays
+    end: noRecovery
   },
   'frames late': {
     harmless: true,
@@ -64,7 +64,7 @@
       for (const service of cluster.services) service.loseAnswers = 1
       for (const engine of cluster.engines) engine.loseAnswers = 1
     },
-    end: stays
+    end: noRecovery
   },
   'backend unreachable': {
     strike: cluster => {
@@ -80,7 +80,7 @@
       engine.fallsBack = true
       engine.restart()
     }),
-    end: stays
+    end: noRecovery
   },
   'load fails': {
     harmless: true,
@@ -108,12 +108,12 @@
       cluster.store.deafWatches = true
       cluster.store.repeatEvents = true
     },
-    end: stays
+    end: noRecovery
   },
   'watches cut': {
     harmless: true,
     strike: cluster => cluster.store.cutWatches(),
-    end: stays
+    end: noRecovery
   },
   'side leaves, list lags': {
     forGood: true,
@@ -122,7 +122,7 @@
       cluster.listLags = true
       cluster.busySide.side.leave()
     },
-    end: stays
+    end: noRecovery
   }
 } satisfies Record<string, Fault>
 
--- a/packages/proofs/src/matrix/matrix.ts
+++ b/packages/proofs/src/matrix/matrix.ts
@@ -1,5 +1,5 @@
 /**
- * The matrix: every step of every scenario against every fault, one cell each.
+ * The fault matrix: one cell for each combination of a scenario, one of its steps and a fault.
  */
 import { Cluster } from './cluster.js'
 import { faultNames, faults, type FaultName } from './faults.js'
@@ -10,7 +10,7 @@
   scenario: ScenarioName
   step: Step
   fault: FaultName
-  /** Whether the step came, so that the fault struck there and not at the end. */
+  /** Whether the step was reached. If not, the fault was injected late in the run. */
   struck: boolean
   checks: readonly PromiseLetter[]
 }
--- a/packages/proofs/src/matrix/network.ts
+++ b/packages/proofs/src/matrix/network.ts
@@ -1,7 +1,8 @@
 /**
- * Connections in memory between processes, with the faults of a network.
+ * An in-memory network between the simulated processes, which can delay, duplicate and truncate frames, hold
+ * those of paused processes, and close connections.
  *
- * Frames are recognised as they pass, so that a fault can strike at a named frame.
+ * Each frame is decoded as it is sent, so that a fault can be injected at a frame of a given type.
  */
 import { Duplex } from 'node:stream'
 import type { Address } from '@finchpitch/core'
@@ -9,35 +10,35 @@
 
 type Accept = (stream: Duplex) => Promise<void>
 
-interface Host {
+interface Listener {
   process: string
   accept: Accept
 }
 
 export class Network {
-  /** Each frame arrives so much later. */
+  /** Delay of each frame in milliseconds. */
   delayMs = 0
-  /** Each frame that carries a request or a part of an answer arrives twice. */
+  /** Delivers each frame that carries a request or a part of its answer twice. */
   duplicate = false
-  /** The next frame of an answer arrives by half, and its connection ends. */
+  /** Delivers only the first half of the next frame of an answer, then closes the connection. Resets itself. */
   truncate = false
-  /** Told of each frame before it is carried. */
+  /** Called for each frame before it is sent. */
   spot: (type: FrameType, from: string, to: string) => void = () => {}
-  readonly #hosts = new Map<Address, Host>()
+  readonly #listeners = new Map<Address, Listener>()
   readonly #links = new Set<Link>()
   readonly #frozen = new Set<string>()
 
-  listen (address: Address, host: Host): void {
-    this.#hosts.set(address, host)
+  listen (address: Address, listener: Listener): void {
+    this.#listeners.set(address, listener)
   }
 
   dialFrom (process: string): Dial {
     return async address => {
-      const host = this.#hosts.get(address)
-      if (host === undefined) throw new Error(`nobody listens at ${address}`)
-      const link = new Link(this, process, host.process)
+      const listener = this.#listeners.get(address)
+      if (listener === undefined) throw new Error(`connection refused: no listener at ${address}`)
+      const link = new Link(this, process, listener.process)
       this.#links.add(link)
-      void host.accept(link.server)
+      void listener.accept(link.server)
       return link.client
     }
   }
@@ -55,13 +56,13 @@
     for (const link of this.#links) link.flush()
   }
 
-  /** The process is gone: its listeners and connections too. */
+  /** Removes the listeners of a killed process and closes its connections. */
   kill (process: string): void {
-    for (const [address, host] of this.#hosts) {
-      if (host.process === process) this.#hosts.delete(address)
+    for (const [address, listener] of this.#listeners) {
+      if (listener.process === process) this.#listeners.delete(address)
     }
     for (const link of this.#links) {
-      if (link.joins(process)) link.cut()
+      if (link.connects(process)) link.cut()
     }
   }
 
@@ -74,80 +75,80 @@
   }
 }
 
-const doubled = new Set<FrameType>(['run', 'head', 'chunk', 'end', 'failure'])
-const answering = new Set<FrameType>(['head', 'chunk', 'end'])
+const duplicatedTypes = new Set<FrameType>(['run', 'head', 'chunk', 'end', 'failure'])
+const responseTypes = new Set<FrameType>(['head', 'chunk', 'end'])
 
 class Link {
-  readonly client: End
-  readonly server: End
-  readonly #held: Array<{ to: End, bytes: Buffer }> = []
+  readonly client: Endpoint
+  readonly server: Endpoint
+  readonly #pausedFrames: Array<{ to: Endpoint, bytes: Buffer }> = []
 
   constructor (private readonly network: Network, private readonly from: string, private readonly to: string) {
-    this.client = new End((end, bytes) => this.#carry(end, bytes), () => this.cut())
-    this.server = new End((end, bytes) => this.#carry(end, bytes), () => this.cut())
+    this.client = new Endpoint((endpoint, bytes) => this.#transmit(endpoint, bytes), () => this.cut())
+    this.server = new Endpoint((endpoint, bytes) => this.#transmit(endpoint, bytes), () => this.cut())
   }
 
-  joins (process: string): boolean {
+  connects (process: string): boolean {
     return this.from === process || this.to === process
   }
 
   cut (): void {
     this.network.forget(this)
-    for (const end of [this.client, this.server]) {
-      if (!end.destroyed) end.destroy()
+    for (const endpoint of [this.client, this.server]) {
+      if (!endpoint.destroyed) endpoint.destroy()
     }
   }
 
   flush (): void {
     if (this.network.isFrozen(this.from) || this.network.isFrozen(this.to)) return
-    for (const { to, bytes } of this.#held.splice(0)) to.give(bytes)
+    for (const { to, bytes } of this.#pausedFrames.splice(0)) to.receive(bytes)
   }
 
-  /** A channel writes one whole frame at a time. */
-  #carry (from: End, bytes: Buffer): void {
-    const outward = from === this.client
-    const to = outward ? this.server : this.client
+  /** Sends one frame: a channel makes one write for each frame, so `bytes` is exactly one. */
+  #transmit (from: Endpoint, bytes: Buffer): void {
+    const fromClient = from === this.client
+    const to = fromClient ? this.server : this.client
     const type = new FrameReader().read(bytes)._unsafeUnwrap()[0]?.type ?? 'hello'
-    this.network.spot(type, outward ? this.from : this.to, outward ? this.to : this.from)
-    if (this.network.truncate && answering.has(type)) {
+    this.network.spot(type, fromClient ? this.from : this.to, fromClient ? this.to : this.from)
+    if (this.network.truncate && responseTypes.has(type)) {
       this.network.truncate = false
-      to.give(bytes.subarray(0, Math.ceil(bytes.length / 2)))
+      to.receive(bytes.subarray(0, Math.ceil(bytes.length / 2)))
       setTimeout(() => this.cut(), 1)
       return
     }
-    const copies = this.network.duplicate && doubled.has(type) ? [bytes, bytes] : [bytes]
-    for (const copy of copies) this.#deliver(to, copy)
+    const copies = this.network.duplicate && duplicatedTypes.has(type) ? [bytes, bytes] : [bytes]
+    for (const copy of copies) this.#schedule(to, copy)
   }
 
-  #deliver (to: End, bytes: Buffer): void {
-    if (this.network.delayMs > 0) setTimeout(() => this.#arrive(to, bytes), this.network.delayMs)
-    else this.#arrive(to, bytes)
+  #schedule (to: Endpoint, bytes: Buffer): void {
+    if (this.network.delayMs > 0) setTimeout(() => this.#deliver(to, bytes), this.network.delayMs)
+    else this.#deliver(to, bytes)
   }
 
-  #arrive (to: End, bytes: Buffer): void {
-    if (this.network.isFrozen(this.from) || this.network.isFrozen(this.to)) this.#held.push({ to, bytes })
-    else to.give(bytes)
+  #deliver (to: Endpoint, bytes: Buffer): void {
+    if (this.network.isFrozen(this.from) || this.network.isFrozen(this.to)) this.#pausedFrames.push({ to, bytes })
+    else to.receive(bytes)
   }
 }
 
-class End extends Duplex {
-  constructor (private readonly carry: (end: End, bytes: Buffer) => void, private readonly hangUp: () => void) {
+class Endpoint extends Duplex {
+  constructor (private readonly transmit: (endpoint: Endpoint, bytes: Buffer) => void, private readonly onClose: () => void) {
     super()
   }
 
-  give (bytes: Buffer): void {
+  receive (bytes: Buffer): void {
     if (!this.destroyed) this.push(bytes)
   }
 
   override _read (): void {}
 
   override _write (bytes: Buffer, _encoding: string, done: () => void): void {
-    this.carry(this, bytes)
+    this.transmit(this, bytes)
     done()
   }
 
   override _destroy (error: Error | null, done: (error: Error | null) => void): void {
     done(error)
-    this.hangUp()
+    this.onClose()
   }
 }
--- a/packages/proofs/src/matrix/scenarios.ts
+++ b/packages/proofs/src/matrix/scenarios.ts
@@ -1,24 +1,26 @@
 /**
- * The scenarios of the matrix: what is going on when a fault strikes, and what an observer holds against it.
+ * The scenarios of the matrix: the load that runs when a fault is injected, and the checks of the guarantees afterwards.
  *
- * The observer sees what the callers were told and what the backend servers counted. It never asks the system.
+ * The checks use what the callers received, what the backend servers and the store recorded, which side process sent which
+ * request to its backend server, and the configuration revisions that the processes hold. They call no interface of the system
+ * under test, so a fault in its own reports can't hide a violation.
  */
 import { baseLabel } from '@finchpitch/stand-ins'
 import type { Cluster, Layout, Told } from './cluster.js'
 import type { Fault } from './faults.js'
 import type { Step } from './guard.js'
 
-/** The brief's promises, and that the system recovers. */
+/** The guarantees to callers, teams and operators, and that the system recovers. */
 export const promises = {
-  V: 'the adapter and version that the team named',
-  U: 'no adapter unloaded while it serves',
-  W: 'the whole answer, and no other',
-  N: '"not run" was not run',
-  O: 'at most once',
-  R: 'served again once the fault has ended',
-  L: 'no new work for a leaving backend server',
-  S: 'a planned stop cuts off nothing',
-  C: 'accepted configuration in force, never reverted'
+  V: 'only the adapter and version that the team named',
+  U: 'no adapter unloaded while it serves a request',
+  W: 'the complete answer, and no other',
+  N: 'a request answered "not run" did not run',
+  O: 'a request runs at most once',
+  R: 'requests are served again after the fault',
+  L: 'no new requests to a draining backend server',
+  S: 'draining interrupts no request',
+  C: 'accepted configuration comes into force and is never reverted'
 } as const
 export type PromiseLetter = keyof typeof promises
 
@@ -30,169 +32,178 @@
 export interface Scenario {
   layout: Layout
   steps: readonly Step[]
-  /** The promises that a cell checks. */
+  /** The guarantees that are checked in this scenario. */
   checks: readonly PromiseLetter[]
   run: (cluster: Cluster, fault: Fault) => Promise<Report>
 }
 
 export interface Report {
   violations: Violation[]
-  /** What the last caller was told, after the fault had ended. */
+  /** What the last caller got, after the fault was removed. */
   last: Told['outcome']
 }
 
 const faultMs = 4000
 const settleMs = 40_000
 
-interface TriedRequest {
+interface ObservedRequest {
   label: string
-  told: Told[]
-  /** What the whole answer must hold, told apart from any other's. */
-  isWhole: (text: string) => boolean
+  attempts: Told[]
+  /** Whether a text is the complete answer to this request and to no other. */
+  isComplete: (text: string) => boolean
 }
 
-const checkOnce = (cluster: Cluster, { label, told, isWhole }: TriedRequest): Violation[] => {
+const checkAtMostOnce = (cluster: Cluster, { label, attempts, isComplete }: ObservedRequest): Violation[] => {
   const violations: Violation[] = []
   const runs = cluster.runs(label)
   if (runs > 1) violations.push({ promise: 'O', detail: `${label} ran ${runs} times` })
-  const texts = new Set(told.filter(each => each.outcome === 'ran').map(each => each.text))
+  const texts = new Set(attempts.filter(each => each.outcome === 'ran').map(each => each.text))
   if (texts.size > 1) violations.push({ promise: 'W', detail: `${label} had ${texts.size} answers` })
-  violations.push(...checkTold({ label, told, isWhole }))
-  if (told.every(each => each.outcome === 'not_run') && runs > 0) violations.push({ promise: 'N', detail: `${label} ran, and every try was told that it had not` })
+  violations.push(...checkAnswers({ label, attempts, isComplete }))
+  if (attempts.every(each => each.outcome === 'not_run') && runs > 0) violations.push({ promise: 'N', detail: `${label} ran, and every attempt was answered "not run"` })
   return violations
 }
 
-const checkTold = ({ label, told, isWhole }: TriedRequest): Violation[] => told.flatMap((each): Violation[] => {
-  if (each.outcome === 'not_run' && each.runsThen > 0) return [{ promise: 'N', detail: `${label} had run when "not run" (${each.code}) was told` }]
-  if (each.outcome === 'ran' && !isWhole(each.text)) return [{ promise: 'W', detail: `${label} got "${each.text.slice(0, 80)}"` }]
+const checkAnswers = ({ label, attempts, isComplete }: ObservedRequest): Violation[] => attempts.flatMap((each): Violation[] => {
+  if (each.outcome === 'not_run' && each.runsThen > 0) return [{ promise: 'N', detail: `${label} had run when the caller was answered "not run" (${each.code})` }]
+  if (each.outcome === 'ran' && !isComplete(each.text)) return [{ promise: 'W', detail: `${label} got "${each.text.slice(0, 80)}"` }]
   return []
 })
 
 const checkEngines = (cluster: Cluster, labels: Map<string, string>): Violation[] => cluster.engines.flatMap(engine => [
   ...engine.violations.map((detail): Violation => ({ promise: 'U', detail })),
   ...engine.runs
-    // An engine that falls back to its base model can't be kept from it; no caller may be given that answer.
+    // Some engines run the base model in place of an adapter that they don't have. This can't be prevented, so such a run is
+    // no violation here; `checkAnswers` reports one that reaches a caller.
     .filter(run => run.label !== baseLabel && labels.has(run.prompt) && !run.label.startsWith(`${labels.get(run.prompt) ?? ''}#`))
     .map((run): Violation => ({ promise: 'V', detail: `${run.prompt} ran on ${run.label}` }))
 ])
 
-const wholeStream = (label: string) => (text: string): boolean =>
+const isCompleteStream = (label: string) => (text: string): boolean =>
   text.includes('[DONE]') && [0, 1, 2, 3, 4, 5, 6, 7].every(token => new RegExp(`${label}#\\d+:${token} `).test(text))
 
-const wholeGeneration = (label: string) => (text: string): boolean =>
+const isCompleteGeneration = (label: string) => (text: string): boolean =>
   text.endsWith('}]}') && new RegExp(`${label}#\\d+:7 `).test(text)
 
-const wholeBooking = (label: string) => (text: string): boolean => text.includes(`"booked":"${label}"`) && text.endsWith('}')
+const isCompleteBooking = (label: string) => (text: string): boolean => text.includes(`"booked":"${label}"`) && text.endsWith('}')
 
-/** Asks, lets the fault strike, asks again through the other entry while it lasts, and once more after it. */
-const threeTries = async (cluster: Cluster, fault: Fault, ask: (index: number) => Promise<Told>): Promise<Told[]> => {
-  const first = ask(0)
+/**
+ * Sends one request three times: through the first entry, through the second one a second later while the fault may be active,
+ * and through the second one again after the fault was removed and the cluster has had time to recover.
+ */
+const sendThreeAttempts = async (cluster: Cluster, fault: Fault, send: (index: number) => Promise<Told>): Promise<Told[]> => {
+  const first = send(0)
   await cluster.time.pass(1000)
-  const second = ask(1)
+  const second = send(1)
   await cluster.time.pass(faultMs)
   cluster.strikeAtLast()
   await cluster.time.pass(faultMs)
   await cluster.time.until(fault.end(cluster))
   await cluster.time.pass(settleMs)
-  const third = ask(1)
+  const third = send(1)
   await cluster.time.pass(settleMs)
-  return await Promise.all([first, second, third].map(told => settled(cluster, told)))
+  return await Promise.all([first, second, third].map(attempt => currentAnswer(cluster, attempt)))
 }
 
-/** What a caller was told by now; a caller of a process that is gone hears nothing. */
-const settled = async (cluster: Cluster, told: Promise<Told>): Promise<Told> => {
+/** The answer that a caller has got so far; the caller of a killed process gets none. */
+const currentAnswer = async (cluster: Cluster, attempt: Promise<Told>): Promise<Told> => {
   const nothing: Told = { outcome: 'nothing', code: 'none', text: '', runsThen: 0 }
   await cluster.time.settle()
-  return await Promise.race([told, cluster.time.settle(1).then(() => nothing)])
+  return await Promise.race([attempt, cluster.time.settle(1).then(() => nothing)])
 }
 
-const lastOf = (told: Told[]): Told['outcome'] => told.at(-1)?.outcome ?? 'nothing'
+const outcomeOfLast = (attempts: Told[]): Told['outcome'] => attempts.at(-1)?.outcome ?? 'nothing'
 
-const booking = async (cluster: Cluster, fault: Fault, key: string): Promise<Report> => {
+const runBooking = async (cluster: Cluster, fault: Fault, key: string): Promise<Report> => {
   const label = 'ingrid at 14:30'
-  const told = await threeTries(cluster, fault, async index => await cluster.tell(index, cluster.booking(key, label, false), label))
-  return { violations: checkOnce(cluster, { label, told, isWhole: wholeBooking(label) }), last: lastOf(told) }
+  const attempts = await sendThreeAttempts(cluster, fault, async index => await cluster.tell(index, cluster.booking(key, label, false), label))
+  return { violations: checkAtMostOnce(cluster, { label, attempts, isComplete: isCompleteBooking(label) }), last: outcomeOfLast(attempts) }
 }
 
-const both = { services: 2, engines: 0, slots: 0 }
-const engines = { services: 0, engines: 2, slots: 2 }
+const twoServices = { services: 2, engines: 0, slots: 0 }
+const twoEngines = { services: 0, engines: 2, slots: 2 }
 
-const takeTicket = async (cluster: Cluster): Promise<string> => {
-  const ask = cluster.booking(undefined, 'x')
-  return (await cluster.time.until(cluster.entry(1).entry.ticket(ask)))._unsafeUnwrap()
+const requestTicket = async (cluster: Cluster): Promise<string> => {
+  const request = cluster.booking(undefined, 'x')
+  return (await cluster.time.until(cluster.entry(1).entry.ticket(request)))._unsafeUnwrap()
 }
 
-const twoStreams = async (cluster: Cluster, fault: Fault): Promise<Report> => {
+const concurrentStreams = async (cluster: Cluster, fault: Fault): Promise<Report> => {
   const adapters = ['statement', 'letter', 'reminder']
   const labels = new Map(adapters.map(adapter => [`prompt of ${adapter}`, `quetzal/${adapter}@v2`]))
-  const ask = (index: number, adapter: string): Promise<Told> => cluster.tell(index, cluster.statement(adapter, `prompt of ${adapter}`), `prompt of ${adapter}`)
-  const tries = adapters.map(adapter => ({ adapter, told: [ask(0, adapter)] }))
+  const send = (index: number, adapter: string): Promise<Told> => cluster.tell(index, cluster.statement(adapter, `prompt of ${adapter}`), `prompt of ${adapter}`)
+  const requests = adapters.map(adapter => ({ adapter, attempts: [send(0, adapter)] }))
   await cluster.time.pass(150)
-  for (const { adapter, told } of tries) told.push(ask(1, adapter))
+  for (const { adapter, attempts } of requests) attempts.push(send(1, adapter))
   await cluster.time.pass(faultMs)
   cluster.strikeAtLast()
   await cluster.time.pass(faultMs)
   await cluster.time.until(fault.end(cluster))
   await cluster.time.pass(settleMs)
-  for (const { adapter, told } of tries) told.push(ask(1, adapter))
+  for (const { adapter, attempts } of requests) attempts.push(send(1, adapter))
   await cluster.time.pass(settleMs)
   const violations = checkEngines(cluster, labels)
   let last: Told['outcome'] = 'ran'
-  for (const { adapter, told } of tries) {
-    const heard = await Promise.all(told.map(each => settled(cluster, each)))
+  for (const { adapter, attempts } of requests) {
+    const answers = await Promise.all(attempts.map(each => currentAnswer(cluster, each)))
     const label = `prompt of ${adapter}`
-    violations.push(...checkTold({ label, told: heard.map(each => ({ ...each, runsThen: 0 })), isWhole: wholeStream(`quetzal/${adapter}@v2`) }))
-    if (lastOf(heard) !== 'ran') last = lastOf(heard)
-    if (lastOf(heard) !== 'ran' && fault.forGood !== true) violations.push({ promise: 'R', detail: `${label} was told ${lastOf(heard)} (${heard.at(-1)?.code ?? ''})` })
+    violations.push(...checkAnswers({ label, attempts: answers.map(each => ({ ...each, runsThen: 0 })), isComplete: isCompleteStream(`quetzal/${adapter}@v2`) }))
+    if (outcomeOfLast(answers) !== 'ran') last = outcomeOfLast(answers)
+    if (outcomeOfLast(answers) !== 'ran' && fault.forGood !== true) violations.push({ promise: 'R', detail: `${label} was answered ${outcomeOfLast(answers)} (${answers.at(-1)?.code ?? ''})` })
   }
   return { violations, last }
 }
 
-const inForceMs = 5000
+const propagationLimitMs = 5000
 
-const checkRevisions = (cluster: Cluster, wanted: number, deadline: number): Violation[] => {
-  const alive = cluster.members.filter(({ guard }) => !guard.killed)
-  const behind = alive.filter(({ catalog }) => catalog.revision < wanted)
-  const late = cluster.moves.filter(({ revision, at }) => revision === wanted && at > deadline)
-  const back = cluster.moves.filter((move, index) => cluster.moves.slice(0, index).some(earlier => earlier.process === move.process && earlier.revision >= move.revision))
+const checkRevisions = (cluster: Cluster, expectedRevision: number, deadline: number): Violation[] => {
+  const alive = cluster.members.filter(({ guard: gate }) => !gate.killed)
+  const behind = alive.filter(({ catalog }) => catalog.revision < expectedRevision)
+  const late = cluster.moves.filter(({ revision, at }) => revision === expectedRevision && at > deadline)
+  const reverted = cluster.moves.filter((move, index) => cluster.moves.slice(0, index).some(earlier => earlier.process === move.process && earlier.revision >= move.revision))
   return [
-    ...behind.map(({ instance, catalog }): Violation => ({ promise: 'C', detail: `${instance.process} is at ${catalog.revision}, not ${wanted}` })),
-    ...late.map(({ process, at }): Violation => ({ promise: 'C', detail: `${process} took ${wanted} on ${at - deadline} ms late` })),
-    ...back.map(({ process, revision }): Violation => ({ promise: 'C', detail: `${process} went back to ${revision}` }))
+    ...behind.map(({ instance, catalog }): Violation => ({ promise: 'C', detail: `${instance.process} is at revision ${catalog.revision}, not ${expectedRevision}` })),
+    ...late.map(({ process, at }): Violation => ({ promise: 'C', detail: `${process} applied revision ${expectedRevision} ${at - deadline} ms late` })),
+    ...reverted.map(({ process, revision }): Violation => ({ promise: 'C', detail: `${process} reverted to revision ${revision}` }))
   ]
 }
 
-/** Two operators race; what one is told must hold everywhere soon after the fault has ended. */
-const race = async (cluster: Cluster, fault: Fault): Promise<Report> => {
-  const told = ['ana', 'bo'].map((note, index) => cluster.apply(index, note, 1).catch(() => 'nothing'))
+/**
+ * Two operators apply different configurations to the same revision at once. The highest accepted revision must be in force at
+ * all live processes within `propagationLimitMs` of the end of the fault, no process may go back to an earlier one, and no more
+ * operators may be answered "applied" than changes were accepted.
+ */
+const raceOperators = async (cluster: Cluster, fault: Fault): Promise<Report> => {
+  const pendingReplies = ['ana', 'bo'].map((note, index) => cluster.apply(index, note, 1).catch(() => 'nothing'))
   await cluster.time.pass(faultMs)
   cluster.strikeAtLast()
   await cluster.time.pass(faultMs)
   await cluster.time.until(fault.end(cluster))
-  const deadline = Date.now() + inForceMs
+  const deadline = Date.now() + propagationLimitMs
   await cluster.time.pass(settleMs)
-  const replies = await Promise.all(told.map(each => Promise.race([each, cluster.time.settle().then(() => 'nothing')])))
-  const heads = cluster.store.writes.filter(({ name }) => name === 'config/head')
-  const accepted = Math.max(...heads.map(({ value }) => (value as { revision: number }).revision))
+  const replies = await Promise.all(pendingReplies.map(each => Promise.race([each, cluster.time.settle().then(() => 'nothing')])))
+  const headWrites = cluster.store.writes.filter(({ name }) => name === 'config/head')
+  const accepted = Math.max(...headWrites.map(({ value }) => (value as { revision: number }).revision))
   const violations = checkRevisions(cluster, accepted, deadline)
   const applied = replies.filter(reply => reply === 'applied').length
-  if (applied > heads.length - 1) violations.push({ promise: 'C', detail: `${applied} were told "applied" of ${heads.length - 1} accepted` })
+  if (applied > headWrites.length - 1) violations.push({ promise: 'C', detail: `${applied} operators were answered "applied", but ${headWrites.length - 1} changes were accepted` })
   return { violations, last: accepted > 1 ? 'ran' : 'not_run' }
 }
 
-const leaveMs = 3000
+/** Time for the entries to learn that the side process is draining, before new requests are sent. */
+const drainNoticeMs = 3000
 
-/** A side process leaves while requests run; the fault strikes on top. */
-const drain = async (cluster: Cluster, fault: Fault): Promise<Report> => {
+/** A side process drains while requests run, and the fault is injected besides. */
+const drainSide = async (cluster: Cluster, fault: Fault): Promise<Report> => {
   for (const service of cluster.services) service.delayMs = 2000
-  const early = ['a', 'b', 'c'].map(label => ({ label, told: cluster.tell(0, cluster.booking(`key-${label}`, label), label) }))
+  const early = ['a', 'b', 'c'].map(label => ({ label, attempt: cluster.tell(0, cluster.booking(`key-${label}`, label), label) }))
   await cluster.time.pass(500)
-  const leaving = cluster.busySide
-  const inProgress = early.filter(({ label }) => cluster.runs(label) > 0)
+  const drainingSide = cluster.busySide
+  const running = early.filter(({ label }) => cluster.runs(label) > 0)
   cluster.listLags = true
-  leaving.side.leave()
-  await cluster.time.pass(leaveMs)
-  const late = ['d', 'e', 'f'].map(label => ({ label, told: cluster.tell(1, cluster.booking(`key-${label}`, label), label) }))
+  drainingSide.side.leave()
+  await cluster.time.pass(drainNoticeMs)
+  const late = ['d', 'e', 'f'].map(label => ({ label, attempt: cluster.tell(1, cluster.booking(`key-${label}`, label), label) }))
   await cluster.time.pass(faultMs)
   cluster.strikeAtLast()
   await cluster.time.pass(faultMs)
@@ -200,62 +211,62 @@
   await cluster.time.pass(settleMs)
   const violations: Violation[] = []
   for (const { process, label } of cluster.executions) {
-    const isNew = process === leaving.instance.process && late.some(each => each.label === label)
-    if (isNew) violations.push({ promise: 'L', detail: `${label ?? ''} came after the leave and ran at the leaving process` })
+    const isNewRequest = process === drainingSide.instance.process && late.some(each => each.label === label)
+    if (isNewRequest) violations.push({ promise: 'L', detail: `${label ?? ''} was sent after draining began and ran at the draining process` })
   }
   let last: Told['outcome'] = 'ran'
-  for (const { label, told } of [...early, ...late]) {
-    const heard = await settled(cluster, told)
-    violations.push(...checkOnce(cluster, { label, told: [heard], isWhole: wholeBooking(label) }))
-    last = heard.outcome
+  for (const { label, attempt } of [...early, ...late]) {
+    const answer = await currentAnswer(cluster, attempt)
+    violations.push(...checkAtMostOnce(cluster, { label, attempts: [answer], isComplete: isCompleteBooking(label) }))
+    last = answer.outcome
   }
-  const ends = fault.harmless === true ? await Promise.all(inProgress.map(each => settled(cluster, each.told))) : []
-  const cut = ends.filter(each => each.outcome !== 'ran')
-  violations.push(...cut.map((each): Violation => ({ promise: 'S', detail: `a request in progress ended ${each.outcome} (${each.code})` })))
+  const ends = fault.harmless === true ? await Promise.all(running.map(each => currentAnswer(cluster, each.attempt))) : []
+  const interrupted = ends.filter(each => each.outcome !== 'ran')
+  violations.push(...interrupted.map((each): Violation => ({ promise: 'S', detail: `a request in progress ended with ${each.outcome} (${each.code})` })))
   return { violations, last }
 }
 
 export const scenarios = {
   'booking with a key': {
-    layout: both,
+    layout: twoServices,
     steps: ['claim', 'claimed', 'frame.run', 'execute', 'executed', 'frame.head', 'frame.chunk', 'frame.end'],
     checks: ['O', 'N', 'W'],
-    run: async (cluster, fault) => await booking(cluster, fault, 'booking-1')
+    run: async (cluster, fault) => await runBooking(cluster, fault, 'booking-1')
   },
   'booking with a ticket': {
-    layout: both,
+    layout: twoServices,
     steps: ['frame.run', 'execute', 'executed', 'frame.head', 'frame.chunk', 'frame.end'],
     checks: ['O', 'N', 'W'],
-    run: async (cluster, fault) => await booking(cluster, fault, await takeTicket(cluster))
+    run: async (cluster, fault) => await runBooking(cluster, fault, await requestTicket(cluster))
   },
   'statement with a key': {
-    layout: engines,
+    layout: twoEngines,
     steps: ['claim', 'claimed', 'frame.run', 'load', 'loaded', 'execute', 'executed', 'frame.chunk', 'frame.end'],
     checks: ['O', 'N', 'W', 'V', 'U'],
     run: async (cluster, fault) => {
       const label = 'statement of member 7'
-      const told = await threeTries(cluster, fault, async index => await cluster.tell(index, cluster.statement('statement', label, 'statement-7'), label))
-      const violations = checkOnce(cluster, { label, told, isWhole: wholeGeneration('quetzal/statement@v2') })
-      return { violations: [...violations, ...checkEngines(cluster, new Map([[label, 'quetzal/statement@v2']]))], last: lastOf(told) }
+      const attempts = await sendThreeAttempts(cluster, fault, async index => await cluster.tell(index, cluster.statement('statement', label, 'statement-7'), label))
+      const violations = checkAtMostOnce(cluster, { label, attempts, isComplete: isCompleteGeneration('quetzal/statement@v2') })
+      return { violations: [...violations, ...checkEngines(cluster, new Map([[label, 'quetzal/statement@v2']]))], last: outcomeOfLast(attempts) }
     }
   },
   'streams over few slots': {
     layout: { services: 0, engines: 1, slots: 1 },
     steps: ['load', 'loaded', 'unload', 'execute', 'executed', 'frame.run', 'frame.head', 'frame.chunk', 'frame.end'],
     checks: ['W', 'V', 'U', 'R'],
-    run: twoStreams
+    run: concurrentStreams
   },
   'operators race': {
     layout: { services: 1, engines: 1, slots: 2 },
     steps: ['shard', 'head.write', 'head.written'],
     checks: ['C'],
-    run: race
+    run: raceOperators
   },
   'a side leaves': {
-    layout: both,
+    layout: twoServices,
     steps: ['frame.run', 'claimed', 'execute', 'executed', 'frame.end'],
     checks: ['L', 'S', 'O', 'N', 'W'],
-    run: drain
+    run: drainSide
   }
 } satisfies Record<string, Scenario>
 
