--- a/packages/soak/src/changes.ts
+++ b/packages/soak/src/changes.ts
@@ -1,25 +1,25 @@
 /**
- * An operator who adds and drops routes beside all other faults, with the store turning single entries away and all processes
- * ending at once; and what of the changes was not in force in time.
+ * Adds and removes routes concurrently with all other faults, while the store is unreachable for single entries and all processes are
+ * killed at once, and finds changes that did not take effect in time.
  */
 import { pause } from '@finchpitch/core'
 import { RouteChanges, type FaultProxy, type FleetSystem, type Harm, type LateChange } from '@finchpitch/stand-ins'
 import { everywhere, storeAway, type Disturbances } from './disturbances.js'
 import type { Dice } from './random.js'
 
-/** A change is in force so long after its acknowledgement, */
+/** Time after its acknowledgement within which a change must take effect. */
 const applyMs = 2000
-/** at an entry that nothing troubled for so long, */
-const contactMs = 3000
-/** or so much later at one that the store turns away, where others that could tell it are troubled too. */
-const skewMs = 5000
-/** What an entry has shown of a change it goes back on no later. */
+/** A removed route may still be served if the entry, connections or the store were disturbed within this time before the request. */
+const undisturbedMs = 3000
+/** A change may take this much longer while the store is unreachable for an entry and machines that could pass it on are disturbed. */
+const storeOutageMs = 5000
+/** An entry that has served a new route may return to an older routing table for this time. */
 const slackMs = 250
-const askEveryMs = 100
-const harms: readonly Harm[] = [{ type: 'reset' }, { type: 'silence' }, { type: 'one_way' }]
+const probeIntervalMs = 100
+const storeFaults: readonly Harm[] = [{ type: 'reset' }, { type: 'silence' }, { type: 'one_way' }]
 
-/** The store rejects one entry's calls for a while. */
-interface Rejection {
+/** A time in which the store was unreachable for one entry. */
+interface StoreOutage {
   entry: number
   from: number
   until: number
@@ -27,76 +27,76 @@
 
 export interface ChangesOptions {
   fleet: FleetSystem
-  /** Of the operator, and of what troubles entries. */
+  /** One generator for the operator's changes, one for the faults. */
   dice: { operator: Dice, troubles: Dice }
   disturbances: Disturbances
-  /** Ends all processes that no other fault has ended, and starts them again. */
+  /** Kills and restarts all processes that no other fault has stopped. */
   endAll: () => Promise<void>
   log: (line: string) => void
 }
 
 export class Changes {
   readonly #routes: RouteChanges
-  readonly #rejections: Rejection[] = []
+  readonly #storeOutages: StoreOutage[] = []
 
   constructor (private readonly options: ChangesOptions) {
-    this.#routes = new RouteChanges(options.fleet, 'changed', askEveryMs)
+    this.#routes = new RouteChanges(options.fleet, 'changed', probeIntervalMs)
   }
 
-  /** For `ms`; resolves once all troubles are over and all callers answered. */
+  /** Runs for `ms`; resolves once all faults are over and all probes have been answered. */
   async deal (ms: number): Promise<void> {
     const stop = new AbortController()
-    const asked = this.#routes.ask(stop.signal)
+    const probing = this.#routes.ask(stop.signal)
     const until = performance.now() + ms
-    await Promise.all([this.#operate(until), this.#trouble(until)])
+    await Promise.all([this.#changeRoutes(until), this.#injectFaults(until)])
     stop.abort()
-    await asked
+    await probing
     this.#routes.close()
   }
 
-  async #operate (until: number): Promise<void> {
-    const { operator } = this.options.dice
-    const ended: Array<Promise<void>> = []
+  async #changeRoutes (until: number): Promise<void> {
+    const { operator: random } = this.options.dice
+    const kills: Array<Promise<void>> = []
     while (performance.now() < until) {
-      if (operator.chance(60)) this.#routes.add()
+      if (random.chance(60)) this.#routes.add()
       else this.#routes.drop()
-      if (operator.chance(4)) ended.push(this.#endAll())
-      await pause(operator.chance(40) ? operator.between(10, 60) : operator.between(300, 2500))
+      if (random.chance(4)) kills.push(this.#killAndRestartAll())
+      await pause(random.chance(40) ? random.between(10, 60) : random.between(300, 2500))
     }
-    await Promise.all(ended)
+    await Promise.all(kills)
   }
 
-  async #trouble (until: number): Promise<void> {
-    const { troubles } = this.options.dice
-    const dealt: Array<Promise<void>> = []
+  async #injectFaults (until: number): Promise<void> {
+    const { troubles: random } = this.options.dice
+    const faults: Array<Promise<void>> = []
     while (performance.now() < until) {
-      await pause(troubles.between(800, 3000))
-      dealt.push(troubles.chance(85) ? this.#turnAway() : this.#endAll())
+      await pause(random.between(800, 3000))
+      faults.push(random.chance(85) ? this.#blockStore() : this.#killAndRestartAll())
     }
-    await Promise.all(dealt)
+    await Promise.all(faults)
   }
 
-  async #endAll (): Promise<void> {
-    this.options.log('all processes end at once')
+  async #killAndRestartAll (): Promise<void> {
+    this.options.log('killing all processes at once')
     await this.options.endAll()
   }
 
-  async #turnAway (): Promise<void> {
-    const { fleet, dice: { troubles }, log } = this.options
-    const entry = troubles.between(0, fleet.entries.length - 1)
-    const front = fleet.storeFronts[entry] as FaultProxy
-    const harm = troubles.pick(harms)
-    const ms = troubles.between(1000, 9000)
-    if (front.harm.type !== 'none') return
-    log(`the store meets ${fleet.entries[entry]?.name} with ${harm.type} for ${ms} ms`)
-    const rejection = { entry, from: performance.now(), until: Infinity }
-    this.#rejections.push(rejection)
-    front.harm = harm
-    front.resetAll()
+  async #blockStore (): Promise<void> {
+    const { fleet, dice: { troubles: random }, log } = this.options
+    const entry = random.between(0, fleet.entries.length - 1)
+    const proxy = fleet.storeFronts[entry] as FaultProxy
+    const fault = random.pick(storeFaults)
+    const ms = random.between(1000, 9000)
+    if (proxy.harm.type !== 'none') return
+    log(`store unreachable for ${fleet.entries[entry]?.name} (${fault.type}) for ${ms} ms`)
+    const outage = { entry, from: performance.now(), until: Infinity }
+    this.#storeOutages.push(outage)
+    proxy.harm = fault
+    proxy.resetAll()
     await pause(ms)
-    front.harm = { type: 'none' }
-    front.resetAll()
-    rejection.until = performance.now()
+    proxy.harm = { type: 'none' }
+    proxy.resetAll()
+    outage.until = performance.now()
   }
 
   judge (): string[] {
@@ -104,17 +104,17 @@
     return late.map(({ probe, fault, afterMs }) => `${probe.id} ${probe.route.path} at ${this.#nameOf(probe.entry)}: ${fault} for ${Math.round(afterMs)} ms`)
   }
 
-  /** A route that is there is never refused for good; what else is late may be excused by what troubled the entry. */
+  /** `missing` is never allowed, as a 404 tells callers that there is no such route. Other late changes are, if disturbances explain them. */
   #isAllowed ({ probe: { entry, sentAt }, fault, afterMs }: LateChange): boolean {
     const { disturbances, fleet } = this.options
     const name = this.#nameOf(entry)
     if (fault === 'missing') return false
     if (fault === 'older') return disturbances.any(name, sentAt - afterMs, sentAt)
-    if ([name, everywhere, storeAway].some(each => disturbances.any(each, sentAt - contactMs, sentAt))) return true
+    if ([name, everywhere, storeAway].some(each => disturbances.any(each, sentAt - undisturbedMs, sentAt))) return true
     const others = [...fleet.entries, ...fleet.sides].filter(machine => machine.name !== name)
-    const rejected = this.#rejections.some(each => each.from < sentAt && each.until > sentAt - contactMs)
-    const othersDisturbed = others.some(machine => disturbances.any(machine.name, sentAt - afterMs - contactMs, sentAt))
-    return rejected && othersDisturbed && afterMs <= applyMs + skewMs
+    const storeUnreachable = this.#storeOutages.some(each => each.from < sentAt && each.until > sentAt - undisturbedMs)
+    const othersDisturbed = others.some(machine => disturbances.any(machine.name, sentAt - afterMs - undisturbedMs, sentAt))
+    return storeUnreachable && othersDisturbed && afterMs <= applyMs + storeOutageMs
   }
 
   #nameOf (entry: number): string {
--- a/packages/soak/src/disturbances.ts
+++ b/packages/soak/src/disturbances.ts
@@ -1,22 +1,24 @@
 /**
- * When which machine was stopped, frozen or cut off: in such a time, bounds that count from what it was told don't hold for it.
+ * Records when which machine was stopped, frozen or disconnected. Time limits that start when a machine is notified do not apply to it
+ * in these periods.
  */
 
 interface Disturbance {
-  /** The machine's name; `everywhere` where links of any may have been harmed. */
+  /** The machine's name, or one of the constants below. */
   machine: string
   from: number
   until: number
 }
 
+/** In place of a machine: connections of any machine may have been affected. */
 export const everywhere = ''
-/** In place of a machine: the store answers nobody, or has just forgotten its history. */
+/** In place of a machine: the store is unavailable to all machines, or its change history was compacted. */
 export const storeAway = 'store'
 
 export class Disturbances {
   readonly #all: Disturbance[] = []
 
-  /** `act` disturbs the machine until it resolves. */
+  /** Records a disturbance of the machine from now until `act` resolves. */
   async during (machine: string, act: () => Promise<void>): Promise<void> {
     const disturbance = { machine, from: performance.now(), until: Infinity }
     this.#all.push(disturbance)
@@ -24,7 +26,7 @@
     disturbance.until = performance.now()
   }
 
-  /** Whether the machine was disturbed at any time from `from` to `until`, on the steady clock. */
+  /** Whether the machine was disturbed at any time between `from` and `until`, on the monotonic clock. */
   any (machine: string, from: number, until: number): boolean {
     return this.#all.some(each => (each.machine === everywhere || each.machine === machine) && each.from < until && each.until > from)
   }
--- a/packages/soak/src/faults.ts
+++ b/packages/soak/src/faults.ts
@@ -1,5 +1,5 @@
 /**
- * The faults that a soak deals, one after the other and over each other, each drawn from the seed.
+ * The faults that a soak injects. They are drawn with the seed, follow one another and may overlap.
  */
 import { pause } from '@finchpitch/core'
 import type { BackendStandIn, FaultProxy, FleetSystem, Machine } from '@finchpitch/stand-ins'
@@ -15,83 +15,83 @@
 
 export interface Fault {
   name: string
-  deal: (scene: Scene) => Promise<void>
+  deal: (context: Scene) => Promise<void>
 }
 
 const machines = ({ fleet }: Scene): Machine[] => [...fleet.entries, ...fleet.sides]
 
-const restart = async (scene: Scene, machine: Machine, signal: NodeJS.Signals): Promise<void> => {
-  await scene.fleet.kill(machine, signal)
-  await pause(scene.dice.between(50, 500))
-  await scene.fleet.startProcess(machine)
+const restart = async (context: Scene, machine: Machine, signal: NodeJS.Signals): Promise<void> => {
+  await context.fleet.kill(machine, signal)
+  await pause(context.dice.between(50, 500))
+  await context.fleet.startProcess(machine)
 }
 
-/** One machine is stopped by one fault at a time; the others go on. */
-const busy = new WeakSet<Machine>()
+/** Machines that a fault has stopped. A machine is only stopped by one fault at a time. */
+const stoppedMachines = new WeakSet<Machine>()
 
-const withMachine = async (scene: Scene, act: (machine: Machine) => Promise<void>): Promise<void> => {
-  const machine = scene.dice.pick(machines(scene))
-  if (busy.has(machine)) return
-  busy.add(machine)
-  await scene.disturbances.during(machine.name, () => act(machine))
-  busy.delete(machine)
+const withRandomMachine = async (context: Scene, act: (machine: Machine) => Promise<void>): Promise<void> => {
+  const machine = context.dice.pick(machines(context))
+  if (stoppedMachines.has(machine)) return
+  stoppedMachines.add(machine)
+  await context.disturbances.during(machine.name, () => act(machine))
+  stoppedMachines.delete(machine)
 }
 
-/** All machines that no other fault has stopped end at once, and start again at once a moment later. */
-export const endAll = async (scene: Scene): Promise<void> => {
-  const ended = machines(scene).filter(machine => !busy.has(machine))
-  const downMs = scene.dice.between(50, 500)
-  for (const machine of ended) busy.add(machine)
-  await Promise.all(ended.map(machine => scene.disturbances.during(machine.name, async () => {
-    await scene.fleet.kill(machine)
+/** Kills all machines that no other fault has stopped at once, and restarts them together after a delay. */
+export const endAll = async (context: Scene): Promise<void> => {
+  const killed = machines(context).filter(machine => !stoppedMachines.has(machine))
+  const downMs = context.dice.between(50, 500)
+  for (const machine of killed) stoppedMachines.add(machine)
+  await Promise.all(killed.map(machine => context.disturbances.during(machine.name, async () => {
+    await context.fleet.kill(machine)
     await pause(downMs)
-    await scene.fleet.startProcess(machine)
+    await context.fleet.startProcess(machine)
   })))
-  for (const machine of ended) busy.delete(machine)
+  for (const machine of killed) stoppedMachines.delete(machine)
 }
 
-const harmed = async ({ dice, proxies, disturbances }: Scene, harm: FaultProxy['harm']): Promise<void> => {
-  const proxy = dice.pick(proxies)
+const withConnectionFault = async ({ dice: random, proxies, disturbances }: Scene, fault: FaultProxy['harm']): Promise<void> => {
+  const proxy = random.pick(proxies)
   await disturbances.during(everywhere, async () => {
-    proxy.harm = harm
-    await pause(dice.between(200, 2000))
+    proxy.harm = fault
+    await pause(random.between(200, 2000))
     proxy.harm = { type: 'none' }
-    // What was withheld is not delivered late: the link was cut, not slow.
-    if (harm.type !== 'delay') proxy.resetAll()
+    // Withheld data must not arrive late: this fault is a lost connection, not a slow one.
+    if (fault.type !== 'delay') proxy.resetAll()
   })
 }
 
-const faulty = async (scene: Scene, fault: BackendStandIn['fault']): Promise<void> => {
-  const server = scene.dice.pick([...scene.fleet.engines, ...scene.fleet.plain])
+const withServerFault = async (context: Scene, fault: BackendStandIn['fault']): Promise<void> => {
+  const server = context.dice.pick([...context.fleet.engines, ...context.fleet.plain])
   server.fault = fault
-  await pause(scene.dice.between(200, 1500))
+  await pause(context.dice.between(200, 1500))
   server.fault = 'none'
 }
 
 export const faultTable: readonly Fault[] = [
-  { name: 'a process is killed', deal: async scene => await withMachine(scene, async machine => await restart(scene, machine, 'SIGKILL')) },
-  { name: 'a process is stopped and started', deal: async scene => await withMachine(scene, async machine => await restart(scene, machine, 'SIGTERM')) },
+  { name: 'a process is killed', deal: async context => await withRandomMachine(context, async machine => await restart(context, machine, 'SIGKILL')) },
+  { name: 'a process is stopped and started', deal: async context => await withRandomMachine(context, async machine => await restart(context, machine, 'SIGTERM')) },
   {
     name: 'a process stands still',
-    deal: async scene => await withMachine(scene, async machine => {
+    deal: async context => await withRandomMachine(context, async machine => {
       machine.process?.kill('SIGSTOP')
-      await pause(scene.dice.between(200, 2500))
+      await pause(context.dice.between(200, 2500))
       machine.process?.kill('SIGCONT')
     })
   },
-  { name: 'the settings are read again', deal: async scene => { scene.dice.pick(machines(scene)).process?.kill('SIGHUP') } },
-  { name: 'connections are slow', deal: async scene => await harmed(scene, { type: 'delay', ms: scene.dice.between(20, 300) }) },
-  { name: 'connections are reset', deal: async scene => await harmed(scene, { type: 'reset' }) },
-  { name: 'connections are silent', deal: async scene => await harmed(scene, { type: 'silence' }) },
-  { name: 'answers are cut off', deal: async scene => await harmed(scene, { type: 'one_way' }) },
-  { name: 'open connections are reset once', deal: async scene => await scene.disturbances.during(everywhere, async () => scene.dice.pick(scene.proxies).resetAll()) },
+  { name: 'the settings are read again', deal: async context => { context.dice.pick(machines(context)).process?.kill('SIGHUP') } },
+  { name: 'connections are slow', deal: async context => await withConnectionFault(context, { type: 'delay', ms: context.dice.between(20, 300) }) },
+  { name: 'connections are reset', deal: async context => await withConnectionFault(context, { type: 'reset' }) },
+  { name: 'connections are silent', deal: async context => await withConnectionFault(context, { type: 'silence' }) },
+  { name: 'answers are cut off', deal: async context => await withConnectionFault(context, { type: 'one_way' }) },
+  { name: 'open connections are reset once', deal: async context => await context.disturbances.during(everywhere, async () => context.dice.pick(context.proxies).resetAll()) },
   ...(['reset', 'failing', 'shedding', 'torn', 'unsealed', 'foreign', 'mute'] as const).map(fault =>
-    ({ name: `a server is ${fault}`, deal: async (scene: Scene) => await faulty(scene, fault) })),
+    ({ name: `a server is ${fault}`, deal: async (context: Scene) => await withServerFault(context, fault) })),
   {
     name: 'the store is away',
-    deal: async ({ fleet, dice, disturbances }) => await disturbances.during(storeAway, async () => {
-      fleet.store.fault = dice.pick(['busy', 'reset', 'silent'] as const)
-      await pause(dice.between(300, 2500))
+    deal: async ({ fleet, dice: random, disturbances }) => await disturbances.during(storeAway, async () => {
+      fleet.store.fault = random.pick(['busy', 'reset', 'silent'] as const)
+      await pause(random.between(300, 2500))
       fleet.store.fault = 'none'
     })
   },
@@ -99,17 +99,17 @@
   { name: 'the configuration changes', deal: async ({ fleet }) => fleet.store.put('config', 'main', fleet.table(fleet.store.writeCount + 100)) },
   {
     name: 'a version is named',
-    deal: async ({ fleet, dice }) => {
-      const adapter = `a${dice.between(1, 10)}`
+    deal: async ({ fleet, dice: random }) => {
+      const adapter = `a${random.between(1, 10)}`
       fleet.store.put('versions', `base.${adapter}`, { model: 'base', adapter, version: fleet.store.writeCount })
     }
   },
   {
     name: 'orders are late',
-    deal: async ({ fleet, dice }) => {
-      const engine = dice.pick(fleet.engines)
-      engine.lateOrdersMs = dice.between(300, 2000)
-      await pause(dice.between(300, 1500))
+    deal: async ({ fleet, dice: random }) => {
+      const engine = random.pick(fleet.engines)
+      engine.lateOrdersMs = random.between(300, 2000)
+      await pause(random.between(300, 1500))
       engine.lateOrdersMs = 0
     }
   }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,3 +1,3 @@
-/** A soak of real processes under random faults. */
+/** Soak test: real processes under load and random faults. */
 export * from './soak.js'
 export * from './judge.js'
--- a/packages/soak/src/judge.ts
+++ b/packages/soak/src/judge.ts
@@ -1,48 +1,54 @@
 /**
- * What of the promises was broken, by what callers got and backend servers saw.
+ * Checks the system's guarantees against the responses to callers and the requests and orders that reached the backend servers.
  */
 import type { BackendStandIn } from '@finchpitch/stand-ins'
 import type { Result } from './caller.js'
 
 export interface SoakReport {
+  /** Number of requests sent. */
   asked: number
+  /** Complete responses with status 200. */
   answered: number
+  /** Responses with status 503: the request has not run. */
   refused: number
+  /** Responses with status 502 or 504: the request may have run. */
   unknown: number
+  /** Requests without a complete response. */
   cut: number
-  /** Promises that were broken, each with the request that shows it. */
+  /** Violations of the guarantees, each with the request or server that shows it. */
   broken: string[]
 }
 
-/** Events of a whole stream. */
+/** Number of events in a complete stream. */
 export const events = 6
 
-const wholeStream = (body: string): boolean => {
+const isCompleteStream = (body: string): boolean => {
   const ids = [...body.matchAll(/^id: (\d+)$/gm)].map(match => Number(match[1]))
   return ids.length === events && ids.every((id, index) => id === index + 1)
 }
 
+/** Checks the guarantees that hold at any time, also during faults. */
 export const judge = (results: readonly Result[], servers: readonly BackendStandIn[]): SoakReport => {
   const runs = new Map<string, number>()
   for (const server of servers) for (const id of server.ran) runs.set(id, (runs.get(id) ?? 0) + 1)
   const broken: string[] = []
   for (const { id, path, status, body, whole } of results) {
     const ran = runs.get(id) ?? 0
-    const single = path === '/once/x' || path === '/stream/x'
-    if (single && ran > 1) broken.push(`${id} ${path} ran ${ran} times`)
-    if (single && status === 503 && ran > 0) broken.push(`${id} ${path} was told as not run and ran`)
-    if (status === 200 && whole && (path === '/once/x' || path === '/again/x') && !body.includes(id)) broken.push(`${id} ${path} got another answer: ${body}`)
-    if (status === 200 && whole && path.startsWith('/stream') && !wholeStream(body)) broken.push(`${id} ${path} looks whole and is not`)
-    if (status === 200 && whole && path.startsWith('/resume') && !wholeStream(body)) broken.push(`${id} ${path} is joined wrongly`)
-    if (status === 404) broken.push(`${id} ${path} was told that there is no route`)
+    const runsAtMostOnce = path === '/once/x' || path === '/stream/x'
+    if (runsAtMostOnce && ran > 1) broken.push(`${id} ${path} ran ${ran} times`)
+    if (runsAtMostOnce && status === 503 && ran > 0) broken.push(`${id} ${path} was answered as not run, but ran`)
+    if (status === 200 && whole && (path === '/once/x' || path === '/again/x') && !body.includes(id)) broken.push(`${id} ${path} got the response to another request: ${body}`)
+    if (status === 200 && whole && path.startsWith('/stream') && !isCompleteStream(body)) broken.push(`${id} ${path} was answered with a stream that ended normally, but is incomplete`)
+    if (status === 200 && whole && path.startsWith('/resume') && !isCompleteStream(body)) broken.push(`${id} ${path} was answered with a resumed stream that lacks or repeats events`)
+    if (status === 404) broken.push(`${id} ${path} was answered with 404, but its route exists`)
   }
   for (const server of servers) {
-    if (server.fell) broken.push(`${server.id} was ordered beyond its places`)
+    if (server.fell) broken.push(`${server.id} was ordered to load more adapters than it has slots`)
     const fences = server.orders.map(order => order.fence)
-    if (fences.some((fence, index) => index > 0 && fence < (fences[index - 1] ?? 0))) broken.push(`${server.id} had a lower fence after a higher one`)
-    if (new Set(server.orders.map(order => order.holder)).size > 1) broken.push(`${server.id} had orders from two machines`)
+    if (fences.some((fence, index) => index > 0 && fence < (fences[index - 1] ?? 0))) broken.push(`${server.id} received an order with a lower fence than an earlier order`)
+    if (new Set(server.orders.map(order => order.holder)).size > 1) broken.push(`${server.id} received orders from more than one machine`)
   }
-  const count = (check: (result: Result) => boolean): number => results.filter(check).length
+  const count = (matches: (result: Result) => boolean): number => results.filter(matches).length
   return {
     asked: results.length,
     answered: count(result => result.status === 200 && result.whole),
--- a/packages/soak/src/limits.ts
+++ b/packages/soak/src/limits.ts
@@ -1,5 +1,5 @@
 /**
- * Servers that name how many requests a second they take, beside all other faults; and how many may reach them then.
+ * Has servers advertise rate limits concurrently with all other faults, and finds servers that receive more requests than they allow.
  */
 import { pause } from '@finchpitch/core'
 import type { BackendStandIn, FleetSystem } from '@finchpitch/stand-ins'
@@ -8,87 +8,87 @@
 import type { Dice } from './random.js'
 import { haveServersSpeak } from './speakers.js'
 
-/** From so long after a server first named its limit, */
-const contactMs = 3000
-/** in any such time it gets no more than */
+/** A limit is checked from this time after the server first advertised it. */
+const enforcementDelayMs = 3000
+/** Length of the sliding window in which requests to a server are counted. */
 const windowMs = 4000
-/** so many times what the limit allows, */
+/** Factor by which the requests in a window may exceed the limit. */
 const overage = 1.5
-/** and so many requests, */
-const slack = 5
-/** of entries that had passed on an answer with it so long before. */
-const toldMs = 500
+/** Number of requests in a window that are allowed in addition. */
+const extraRequests = 5
+/** Only requests from entries that forwarded a response with the limit more than this time before are counted. */
+const knownAfterMs = 500
 
-const calmMs = contactMs + windowMs + 500
-const figures = [0.5, 1.3, 4.8, 12, 50]
+const calmMs = enforcementDelayMs + windowMs + 500
+const limitValues = [0.5, 1.3, 4.8, 12, 50]
 
-/** A server that named a limit. */
-interface Limited {
+/** A limit that a server advertised. */
+interface ServerLimit {
   server: BackendStandIn
-  /** Of its life: one that is born again owes nothing to what it said before. */
+  /** The start time of the server's incarnation: limits of an earlier one do not apply after a restart. */
   bornAt: number | undefined
   perSecond: number
-  /** When it named the highest figure that counts. */
+  /** When the server began to advertise this limit. */
   from: number
   until: number
 }
 
 export class Limits {
-  readonly #limits: Limited[] = []
+  readonly #limits: ServerLimit[] = []
 
-  constructor (private readonly fleet: FleetSystem, private readonly dice: Dice, private readonly log: (line: string) => void) {}
+  constructor (private readonly fleet: FleetSystem, private readonly random: Dice, private readonly log: (line: string) => void) {}
 
-  /** Has servers name limits for `ms`; resolves once none does. */
+  /** Has servers advertise limits for `ms`; resolves once none does any more. */
   async deal (ms: number): Promise<void> {
-    await haveServersSpeak(ms, { fleet: this.fleet, dice: this.dice, mostRestMs: 1500, speak: async server => await this.#limit(server) })
+    await haveServersSpeak(ms, { fleet: this.fleet, dice: this.random, mostRestMs: 1500, speak: async server => await this.#changeLimit(server) })
   }
 
-  /** Nothing else troubles anybody, so that no entry is excused: one server names a limit for long enough to bind. */
+  /** Has one server advertise a limit, long enough for it to be enforced. Called without other faults, so that no entry is excused. */
   async calm (): Promise<void> {
-    const server = this.dice.pick([...this.fleet.engines, ...this.fleet.plain])
-    await this.#name(server, this.dice.pick(figures), calmMs)
+    const server = this.random.pick([...this.fleet.engines, ...this.fleet.plain])
+    await this.#advertise(server, this.random.pick(limitValues), calmMs)
     server.limitPerSecond = undefined
   }
 
-  async #limit (server: BackendStandIn): Promise<void> {
-    const first = this.dice.pick(figures)
-    const second = this.dice.pick(figures)
-    await this.#name(server, Math.max(first, second), this.dice.between(300, 1500))
-    await this.#name(server, Math.min(first, second), this.dice.between(5000, 8000))
-    // A limit that rises may be used slowly, so only the end is looked at.
+  async #changeLimit (server: BackendStandIn): Promise<void> {
+    const first = this.random.pick(limitValues)
+    const second = this.random.pick(limitValues)
+    await this.#advertise(server, Math.max(first, second), this.random.between(300, 1500))
+    await this.#advertise(server, Math.min(first, second), this.random.between(5000, 8000))
+    // Entries may use a raised limit gradually, so the higher value is not checked.
     server.limitPerSecond = Math.max(first, second)
-    await pause(this.dice.between(0, 1000))
+    await pause(this.random.between(0, 1000))
     server.limitPerSecond = undefined
   }
 
-  async #name (server: BackendStandIn, perSecond: number, ms: number): Promise<void> {
-    const limited: Limited = { server, bornAt: server.bornAt, perSecond, from: performance.now(), until: Infinity }
-    this.#limits.push(limited)
-    this.log(`${server.id} takes ${perSecond} a second`)
+  async #advertise (server: BackendStandIn, perSecond: number, ms: number): Promise<void> {
+    const limit: ServerLimit = { server, bornAt: server.bornAt, perSecond, from: performance.now(), until: Infinity }
+    this.#limits.push(limit)
+    this.log(`${server.id} advertises a limit of ${perSecond} requests per second`)
     server.limitPerSecond = perSecond
     await pause(ms)
-    limited.until = performance.now()
-    // What was said before holds for the former life only.
-    if (server.bornAt !== limited.bornAt) this.#limits.splice(this.#limits.indexOf(limited), 1)
+    limit.until = performance.now()
+    // The limit applied only to the incarnation that advertised it.
+    if (server.bornAt !== limit.bornAt) this.#limits.splice(this.#limits.indexOf(limit), 1)
   }
 
-  /** Servers that got more than they had named. */
+  /** Returns the servers that received more requests than their limits allowed. */
   judge (results: readonly Result[], disturbances: Disturbances): string[] {
     const byId = new Map(results.map(result => [result.id, result]))
-    return this.#limits.flatMap(limited => {
-      const { server, perSecond, from } = limited
-      const counted = server.arrivals.filter(arrival => this.#counts(limited, arrival, byId.get(arrival.id), results, disturbances)).map(({ at }) => at)
-      const allowed = overage * perSecond * windowMs / 1000 + slack
-      const most = Math.max(0, ...counted.map(first => counted.filter(at => at >= first && at < first + windowMs).length))
-      return most <= allowed ? [] : [`${server.id} got ${most} requests in ${windowMs} ms, ${Math.round((counted[0] ?? from) - from)} ms after it named ${perSecond} a second; ${allowed} are allowed`]
+    return this.#limits.flatMap(limit => {
+      const { server, perSecond, from } = limit
+      const counted = server.arrivals.filter(arrival => this.#counts(limit, arrival, byId.get(arrival.id), results, disturbances)).map(({ at }) => at)
+      const allowed = overage * perSecond * windowMs / 1000 + extraRequests
+      const maxReceived = Math.max(0, ...counted.map(first => counted.filter(at => at >= first && at < first + windowMs).length))
+      return maxReceived <= allowed ? [] : [`${server.id} received ${maxReceived} requests within ${windowMs} ms, from ${Math.round((counted[0] ?? from) - from)} ms after it advertised ${perSecond} per second; at most ${allowed} are allowed`]
     })
   }
 
-  /** Whether it came as the limit bound, from an entry that had been told and was not disturbed since. */
-  #counts ({ server, from, until }: Limited, { at }: { at: number }, asked: Result | undefined, results: readonly Result[], disturbances: Disturbances): boolean {
-    if (asked === undefined || at < from + contactMs || at > until) return false
-    const toldAt = Math.min(...results.filter(each => each.entry === asked.entry && each.server === server.id && each.sentAt > from).map(each => each.endedAt))
-    const name = this.fleet.entries[asked.entry]?.name ?? ''
-    return at > toldAt + toldMs && !disturbances.any(name, from, at)
+  /** Whether the request arrived while the limit applied, from an entry that knew it and was not disturbed since it was advertised. */
+  #counts ({ server, from, until }: ServerLimit, { at }: { at: number }, request: Result | undefined, results: readonly Result[], disturbances: Disturbances): boolean {
+    if (request === undefined || at < from + enforcementDelayMs || at > until) return false
+    const knownAt = Math.min(...results.filter(each => each.entry === request.entry && each.server === server.id && each.sentAt > from).map(each => each.endedAt))
+    const name = this.fleet.entries[request.entry]?.name ?? ''
+    return at > knownAt + knownAfterMs && !disturbances.any(name, from, at)
   }
 }
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -1,9 +1,10 @@
 /**
- * `npm run soak -- [runs] [first seed] [seconds] [network]`: plays seeds one after the other; says what broke, and with which seed.
+ * `npm run soak -- [runs] [first seed] [seconds] [network]`: runs the soak with consecutive seeds. Prints a report per seed as JSON, and
+ * for a seed with violations its log and the violations. Exits with 1 if there were any.
  */
 import { soak } from './soak.js'
 
-/** Second number of the fleet's addresses, so that several soaks can run beside each other. */
+/** Second octet of the fleet's addresses; soaks that run concurrently need different ones. */
 const defaultNetwork = 41
 
 const [runs = 5, first = Date.now() % 1_000_000, seconds = 8, network = defaultNetwork] = process.argv.slice(2).map(Number)
@@ -18,5 +19,5 @@
   failures += 1
   for (const line of [...lines, ...broken.slice(0, 20)]) process.stdout.write(`  ${line}\n`)
 }
-process.stdout.write(`${runs - failures} of ${runs} seeds kept every promise\n`)
+process.stdout.write(`${runs - failures} of ${runs} seeds without violations\n`)
 process.exitCode = failures === 0 ? 0 : 1
--- a/packages/soak/src/random.ts
+++ b/packages/soak/src/random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded choices, so that a run can be played again.
+ * A seeded random number generator, so that a run can be repeated.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
@@ -11,9 +11,9 @@
     this.#generator = xoroshiro128plus(seed)
   }
 
-  /** A whole number from `least` to `most`, both included. */
-  between (least: number, most: number): number {
-    return uniformInt(this.#generator, least, most)
+  /** Returns an integer from `min` to `max`, both inclusive. */
+  between (min: number, max: number): number {
+    return uniformInt(this.#generator, min, max)
   }
 
   pick<T> (items: readonly T[]): T {
@@ -22,6 +22,7 @@
     return item
   }
 
+  /** Returns true with a probability of `percent` in 100. */
   chance (percent: number): boolean {
     return this.between(1, 100) <= percent
   }
--- a/packages/soak/src/restores.ts
+++ b/packages/soak/src/restores.ts
@@ -18,21 +18,21 @@
 export class Restores {
   constructor (private readonly options: RestoresOptions) {}
 
-  /** At some time in the first half of `ms`; resolves after the lost writes have been repeated. */
+  /** Takes the backup in the first half of `ms`, in half of all runs; resolves once the lost writes have been repeated. */
   async deal (ms: number): Promise<void> {
-    const { fleet: { store }, dice, disturbances, log } = this.options
+    const { fleet: { store }, dice: random, disturbances, log } = this.options
     // Late changes are excused during an outage of the store, so half of the runs have none from a restore.
-    if (!dice.chance(50)) return
-    await pause(dice.between(0, Math.floor(ms / 2)))
+    if (!random.chance(50)) return
+    await pause(random.between(0, Math.floor(ms / 2)))
     const backup = store.backup()
-    await pause(dice.between(300, 2000))
+    await pause(random.between(300, 2000))
     await disturbances.during(storeAway, async () => {
-      store.fault = dice.pick(['busy', 'reset', 'silent'] as const)
-      await pause(dice.between(100, 1500))
+      store.fault = random.pick(['busy', 'reset', 'silent'] as const)
+      await pause(random.between(100, 1500))
       const lost = store.restore(backup)
       log(`store restored from backup, ${lost.length} writes lost`)
       store.fault = 'none'
-      await pause(dice.between(0, 1000))
+      await pause(random.between(0, 1000))
       store.repeatWrites(lost)
     })
   }
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -1,6 +1,6 @@
 /**
- * One soak: a small fleet of real processes under load and random faults, overlapping and repeated, all drawn from a
- * seed. What is promised is checked from what callers got and backend servers saw.
+ * Runs one soak: a small fleet of real processes under load and random faults that overlap and repeat, all drawn with a seed. Checks
+ * the system's guarantees against the responses to callers and the requests and orders that reached the backend servers.
  */
 import { Agent } from 'node:http'
 import { pause } from '@finchpitch/core'
@@ -15,107 +15,111 @@
 import { Restores } from './restores.js'
 import { Words, firstStart } from './words.js'
 
-/** A number that tells the fleets of one machine apart in their addresses. */
 export interface SoakOptions {
   seed: number
+  /** The second octet of the fleet's addresses, so that fleets on one host do not share addresses. */
   network: number
-  /** How long faults are dealt. */
+  /** Time for which faults are injected. */
   faultMs: number
   log: (line: string) => void
 }
 
-/** Lines of each side process that are told with a request that was not served at the end. */
-const lastLines = 12
+/** Number of last log lines of each side process that are reported if a request is not served after recovery. */
+const reportedLines = 12
 const startMs = 2500
-const askEveryMs = 12
-/** All faults are over and reconnects done: from here on everything must be answered again. */
-const recoverMs = 5000
-/** After all faults, a caller sends a request that ends its engines so often, */
-const fatalTries = 6
-/** each once the engine before is back and everybody knows. */
-const fatalRestMs = 1500
-const mostFatalRuns = 3
-const fatalPath = '/stream/fatal'
-/** Far from the seeds that are played one after the other. */
-const wordSeeds = 1_000_000_000
-const changeSeeds = 500_000_000
+const requestIntervalMs = 12
+/** Time after the last fault in which processes may reconnect; from then on all requests must be served again. */
+const recoveryMs = 5000
+/** Number of times that a caller sends a request that crashes the engine that runs it, after all faults. */
+const crashAttempts = 6
+/** Time between these requests, in which the crashed engine restarts and all entries learn of the crash. */
+const crashIntervalMs = 1500
+/** More crashes than this are a violation: the entries must have quarantined the request by then. */
+const maxCrashes = 3
+const crashPath = '/stream/fatal'
+/** Offsets for the seeds of the scenarios' generators, far from the consecutive seeds of the runs. */
+const seedOffset = 1_000_000_000
+const halfSeedOffset = 500_000_000
 
 export const soak = async ({ seed, network, faultMs, log }: SoakOptions): Promise<SoakReport> => {
-  const dice = new Dice(seed)
+  const random = new Dice(seed)
   const proxies: FaultProxy[] = []
-  const between = async (ip: string, port: number, target: number): Promise<void> => {
+  const insertProxy = async (ip: string, port: number, target: number): Promise<void> => {
     const proxy = new FaultProxy()
     await proxy.start(ip, port, target)
     proxies.push(proxy)
   }
-  const fleet = new FleetSystem({ network, domains: 2, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 4, loadMs: 80, workMs: 8, events, eventMs: 6, bornAt: firstStart, between, storeFronts: true })
+  const fleet = new FleetSystem({ network, domains: 2, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 4, loadMs: 80, workMs: 8, events, eventMs: 6, bornAt: firstStart, between: insertProxy, storeFronts: true })
   await fleet.start()
   await pause(startMs)
   const results: Array<Promise<Result>> = []
   const agents = fleet.entries.map(() => new Agent({ keepAlive: true, maxSockets: 40 }))
-  const asked = new AbortController()
-  const asker = (async () => {
-    for (let each = 0; !asked.signal.aborted; each++) {
-      results.push(ask(fleet, dice, agents, `soak-${seed}-${each}`))
-      await pause(askEveryMs)
+  const stopCallers = new AbortController()
+  const callers = (async () => {
+    for (let each = 0; !stopCallers.signal.aborted; each++) {
+      results.push(ask(fleet, random, agents, `soak-${seed}-${each}`))
+      await pause(requestIntervalMs)
     }
   })()
   const disturbances = new Disturbances()
-  // Dice of their own, so that a seed deals the other faults as ever.
-  const words = new Words(fleet, new Dice(seed + wordSeeds), log)
-  const limits = new Limits(fleet, new Dice(seed + 2 * wordSeeds), log)
-  const troubles = new Dice(seed + 3 * changeSeeds)
-  const changes = new Changes({
+  // Each scenario has its own generator, so that adding one does not change the faults that a seed draws.
+  const feedback = new Words(fleet, new Dice(seed + seedOffset), log)
+  const serverLimits = new Limits(fleet, new Dice(seed + 2 * seedOffset), log)
+  const faultRandom = new Dice(seed + 3 * halfSeedOffset)
+  const routeChanges = new Changes({
     fleet,
-    dice: { operator: new Dice(seed + changeSeeds), troubles },
+    dice: { operator: new Dice(seed + halfSeedOffset), troubles: faultRandom },
     disturbances,
-    endAll: async () => await endAll({ fleet, dice: troubles, proxies, disturbances }),
+    endAll: async () => await endAll({ fleet, dice: faultRandom, proxies, disturbances }),
     log
   })
-  const restores = new Restores({ fleet, dice: new Dice(seed + 5 * changeSeeds), disturbances, log })
-  const until = Date.now() + faultMs
-  const spoken = Promise.all([words.deal(faultMs), limits.deal(faultMs), changes.deal(faultMs), restores.deal(faultMs)])
+  const restores = new Restores({ fleet, dice: new Dice(seed + 5 * halfSeedOffset), disturbances, log })
+  const endsAt = Date.now() + faultMs
+  const scenarios = Promise.all([feedback.deal(faultMs), serverLimits.deal(faultMs), routeChanges.deal(faultMs), restores.deal(faultMs)])
   const faults: Array<Promise<void>> = []
-  while (Date.now() < until) {
-    const fault = dice.pick(faultTable)
-    log(`${Date.now() - until + faultMs} ms ${fault.name}`)
-    faults.push(fault.deal({ fleet, dice, proxies, disturbances }))
-    await pause(dice.between(100, 900))
+  while (Date.now() < endsAt) {
+    const fault = random.pick(faultTable)
+    log(`${Date.now() - endsAt + faultMs} ms ${fault.name}`)
+    faults.push(fault.deal({ fleet, dice: random, proxies, disturbances }))
+    await pause(random.between(100, 900))
   }
-  await Promise.all([...faults, spoken])
-  await limits.calm()
-  await pause(recoverMs)
-  asked.abort()
-  await asker
-  const last: Result[] = []
-  for (let each = 0; each < 12; each++) last.push(await ask(fleet, dice, agents, `soak-${seed}-last-${each}`))
-  const all = [...await Promise.all(results), ...last]
-  const report = judge(all, [...fleet.engines, ...fleet.plain])
-  report.broken.push(...words.judge(all, disturbances), ...limits.judge(all, disturbances), ...changes.judge())
-  const unserved = last.filter(result => result.status !== 200)
+  await Promise.all([...faults, scenarios])
+  await serverLimits.calm()
+  await pause(recoveryMs)
+  stopCallers.abort()
+  await callers
+  const finalResults: Result[] = []
+  for (let each = 0; each < 12; each++) finalResults.push(await ask(fleet, random, agents, `soak-${seed}-last-${each}`))
+  const allResults = [...await Promise.all(results), ...finalResults]
+  const report = judge(allResults, [...fleet.engines, ...fleet.plain])
+  report.broken.push(...feedback.judge(allResults, disturbances), ...serverLimits.judge(allResults, disturbances), ...routeChanges.judge())
+  const unserved = finalResults.filter(result => result.status !== 200)
   for (const { id, path, status } of unserved) {
     const lines = fleet.entries.flatMap(entry => entry.output).filter(line => line.includes(`"${id}"`))
-    report.broken.push([`not recovered: ${id} ${path} ${status}`, ...lines].join('\n    '))
+    report.broken.push([`not served after recovery: ${id} ${path}, status ${status}`, ...lines].join('\n    '))
   }
-  if (unserved.length > 0) report.broken.push(...fleet.sides.flatMap(side => side.output.slice(-lastLines)))
-  report.broken.push(...await sendFatal(fleet, dice, agents, seed))
-  if (report.broken.length > 0) report.broken.push(`logs kept: ${await fleet.keepLines(`soak-${seed}`)}`)
+  if (unserved.length > 0) report.broken.push(...fleet.sides.flatMap(side => side.output.slice(-reportedLines)))
+  report.broken.push(...await sendCrashingRequest(fleet, random, agents, seed))
+  if (report.broken.length > 0) report.broken.push(`logs written to ${await fleet.keepLines(`soak-${seed}`)}`)
   for (const agent of agents) agent.destroy()
   await fleet.stop()
   await Promise.all(proxies.map(proxy => proxy.stop()))
   return report
 }
 
-/** All is well, and one request ends each engine that runs it, at whichever entry it comes: gives what of the promise is broken. */
-const sendFatal = async (fleet: FleetSystem, dice: Dice, agents: Agent[], seed: number): Promise<string[]> => {
-  for (const engine of fleet.engines) engine.fatalPath = fatalPath
+/**
+ * Without other faults, sends a request that crashes every engine that runs it, repeatedly and to any entry. Returns a violation if it
+ * crashed more engines than allowed.
+ */
+const sendCrashingRequest = async (fleet: FleetSystem, random: Dice, agents: Agent[], seed: number): Promise<string[]> => {
+  for (const engine of fleet.engines) engine.fatalPath = crashPath
   const results: Result[] = []
-  for (let each = 0; each < fatalTries; each++) {
-    results.push(await ask(fleet, dice, agents, `soak-${seed}-fatal-${each}`, fatalPath))
-    await pause(fatalRestMs)
+  for (let each = 0; each < crashAttempts; each++) {
+    results.push(await ask(fleet, random, agents, `soak-${seed}-fatal-${each}`, crashPath))
+    await pause(crashIntervalMs)
   }
-  const runs = fleet.engines.flatMap(engine => engine.ran).filter(id => id.startsWith(`soak-${seed}-fatal-`)).length
-  if (runs <= mostFatalRuns) return []
+  const crashes = fleet.engines.flatMap(engine => engine.ran).filter(id => id.startsWith(`soak-${seed}-fatal-`)).length
+  if (crashes <= maxCrashes) return []
   const lines = fleet.entries.flatMap(entry => entry.output).filter(line => /request\.(broke_off|quarantined|released)|server\.replaced/.test(line))
-  return [`a request ended ${runs} engines; its answers: ${results.map(result => result.status).join(' ')}`, ...lines.slice(-lastLines)]
+  return [`one request crashed ${crashes} engines; status codes of its responses: ${results.map(result => result.status).join(' ')}`, ...lines.slice(-reportedLines)]
 }
--- a/packages/soak/src/speakers.ts
+++ b/packages/soak/src/speakers.ts
@@ -1,32 +1,32 @@
 /**
- * Servers that say something of themselves for a while, each one thing at a time.
+ * Has random backend servers behave differently for a while, with one behaviour per server at a time.
  */
 import { pause } from '@finchpitch/core'
 import type { BackendStandIn, FleetSystem } from '@finchpitch/stand-ins'
 import type { Dice } from './random.js'
 
-const leastRestMs = 200
+const minPauseMs = 200
 
 export interface SpeakersOptions {
   fleet: FleetSystem
   dice: Dice
-  /** The longest rest before the next one begins to speak. */
+  /** The longest pause before the next server is picked. */
   mostRestMs: number
-  /** What a server does, until it is as before. */
+  /** Changes a server's behaviour; resolves once the server is back to normal. */
   speak: (server: BackendStandIn) => Promise<void>
 }
 
-/** Has servers speak for `ms`; resolves once all are as before. */
-export const haveServersSpeak = async (ms: number, { fleet, dice, mostRestMs, speak }: SpeakersOptions): Promise<void> => {
-  const until = performance.now() + ms
-  const speaking = new Set<BackendStandIn>()
-  const spoken: Array<Promise<void>> = []
-  while (performance.now() < until) {
-    await pause(dice.between(leastRestMs, mostRestMs))
-    const server = dice.pick([...fleet.engines, ...fleet.plain])
-    if (speaking.has(server)) continue
-    speaking.add(server)
-    spoken.push(speak(server).then(() => { speaking.delete(server) }))
+/** Picks servers for `ms`; resolves once all are back to normal. Skips a server that is still in use. */
+export const haveServersSpeak = async (ms: number, { fleet, dice: random, mostRestMs: maxPauseMs, speak: act }: SpeakersOptions): Promise<void> => {
+  const endsAt = performance.now() + ms
+  const inUse = new Set<BackendStandIn>()
+  const runs: Array<Promise<void>> = []
+  while (performance.now() < endsAt) {
+    await pause(random.between(minPauseMs, maxPauseMs))
+    const server = random.pick([...fleet.engines, ...fleet.plain])
+    if (inUse.has(server)) continue
+    inUse.add(server)
+    runs.push(act(server).then(() => { inUse.delete(server) }))
   }
-  await Promise.all(spoken)
+  await Promise.all(runs)
 }
--- a/packages/soak/src/words.ts
+++ b/packages/soak/src/words.ts
@@ -1,5 +1,6 @@
 /**
- * Servers that say of themselves that they leave, or ask for rest, beside all other faults; and what may reach them then.
+ * Has servers announce that they are draining, or request a backoff, concurrently with all other faults, and finds requests that reach
+ * them nevertheless.
  */
 import { pause } from '@finchpitch/core'
 import type { BackendStandIn, FleetSystem } from '@finchpitch/stand-ins'
@@ -8,85 +9,86 @@
 import type { Dice } from './random.js'
 import { haveServersSpeak } from './speakers.js'
 
-/** A server gets nothing that a caller sent later than this after an entry had passed on an answer that says it leaves. */
+/** Once an entry has forwarded a response that announces draining, requests sent to this entry after this time must not reach the server. */
 const drainMs = 2000
-/** A rest binds from so long after the answer that asks for it; until its end, so many requests may come. */
-const bindingMs = 500
-const mostInRest = 2
+/** A backoff applies from this time after the response that requested it. */
+const backoffDelayMs = 500
+/** Number of requests that may reach the server until the backoff ends. */
+const maxRequestsInBackoff = 2
 
-/** What servers say of their first start. */
+/** The start time that servers report before their first restart. */
 export const firstStart = 1
 
-/** A server that said so, from when until it ended. */
-interface Leaving {
+/** A period in which a server announced that it is draining; it ends with the server's restart. */
+interface DrainPeriod {
   server: BackendStandIn
   from: number
   until: number
 }
 
-/** A server that asked for `restMs` with all its refusals. */
-interface Overload {
+/** A period in which a server rejected all requests and requested a backoff of `backoffMs`. */
+interface OverloadPeriod {
   server: BackendStandIn
-  restMs: number
+  backoffMs: number
   from: number
   until: number
 }
 
 export class Words {
-  readonly #leavings: Leaving[] = []
-  readonly #overloads: Overload[] = []
-  /** Starts of servers that are back under their ids. */
-  #born = firstStart
+  readonly #drainPeriods: DrainPeriod[] = []
+  readonly #overloadPeriods: OverloadPeriod[] = []
+  /** The start time of the most recent incarnation; raised with each restart of a server under its id. */
+  #latestBornAt = firstStart
 
-  constructor (private readonly fleet: FleetSystem, private readonly dice: Dice, private readonly log: (line: string) => void) {}
+  constructor (private readonly fleet: FleetSystem, private readonly random: Dice, private readonly log: (line: string) => void) {}
 
-  /** Has servers speak for `ms`; resolves once all are as before. */
+  /** Runs for `ms`; resolves once all servers are back to normal. */
   async deal (ms: number): Promise<void> {
     await haveServersSpeak(ms, {
       fleet: this.fleet,
-      dice: this.dice,
+      dice: this.random,
       mostRestMs: 1200,
-      speak: async server => await (this.dice.chance(50) ? this.#leave(server) : this.#askForRest(server))
+      speak: async server => await (this.random.chance(50) ? this.#drain(server) : this.#requestBackoff(server))
     })
   }
 
-  async #leave (server: BackendStandIn): Promise<void> {
-    const leaving = { server, from: performance.now(), until: Infinity }
-    this.#leavings.push(leaving)
-    this.log(`${server.id} leaves`)
+  async #drain (server: BackendStandIn): Promise<void> {
+    const drainPeriod = { server, from: performance.now(), until: Infinity }
+    this.#drainPeriods.push(drainPeriod)
+    this.log(`${server.id} is draining`)
     server.leaving = true
-    // Half of them are lost to the store, which goes on listing them as ready.
-    if (this.dice.chance(50)) this.fleet.list(server, 'draining')
-    await pause(this.dice.between(2200, 4000))
-    leaving.until = performance.now()
+    // In half of the cases the store does not learn of it, and keeps listing the server as ready.
+    if (this.random.chance(50)) this.fleet.list(server, 'draining')
+    await pause(this.random.between(2200, 4000))
+    drainPeriod.until = performance.now()
     server.leaving = false
-    this.#born += 1
-    server.bornAt = this.#born
+    this.#latestBornAt += 1
+    server.bornAt = this.#latestBornAt
     server.restart(server.id)
     this.fleet.list(server)
   }
 
-  async #askForRest (server: BackendStandIn): Promise<void> {
-    const restMs = this.dice.between(800, 2500)
-    const overload = { server, restMs, from: performance.now(), until: Infinity }
-    this.#overloads.push(overload)
-    this.log(`${server.id} asks for ${restMs} ms of rest`)
-    server.overloadedRestMs = restMs
-    await pause(this.dice.between(500, 3000))
+  async #requestBackoff (server: BackendStandIn): Promise<void> {
+    const backoffMs = this.random.between(800, 2500)
+    const period = { server, backoffMs, from: performance.now(), until: Infinity }
+    this.#overloadPeriods.push(period)
+    this.log(`${server.id} requests a backoff of ${backoffMs} ms`)
+    server.overloadedRestMs = backoffMs
+    await pause(this.random.between(500, 3000))
     server.overloadedRestMs = undefined
-    overload.until = performance.now()
+    period.until = performance.now()
   }
 
-  /** What reached servers against their word. */
+  /** Returns the requests that reached draining servers, and the servers that were sent too many requests during a backoff. */
   judge (results: readonly Result[], disturbances: Disturbances): string[] {
     const byId = new Map(results.map(result => [result.id, result]))
     const nameOf = (entry: number): string => this.fleet.entries[entry]?.name ?? ''
     return this.fleet.entries.flatMap((_, entry) => {
       const disturbed = (from: number, until: number): boolean => disturbances.any(nameOf(entry), from, until)
-      const mine = results.filter(result => result.entry === entry)
+      const ownResults = results.filter(result => result.entry === entry)
       return [
-        ...this.#leavings.flatMap(leaving => afterLeaving(leaving, mine, disturbed)),
-        ...this.#overloads.flatMap(overload => withinRest(overload, id => byId.get(id)?.entry === entry, disturbed))
+        ...this.#drainPeriods.flatMap(drainPeriod => requestsWhileDraining(drainPeriod, ownResults, disturbed)),
+        ...this.#overloadPeriods.flatMap(period => requestsDuringBackoff(period, id => byId.get(id)?.entry === entry, disturbed))
       ].map(each => `${nameOf(entry)}: ${each}`)
     })
   }
@@ -94,20 +96,20 @@
 
 type Disturbed = (from: number, until: number) => boolean
 
-const afterLeaving = ({ server, from, until }: Leaving, mine: readonly Result[], disturbed: Disturbed): string[] => {
-  const toldAt = Math.min(...mine.filter(result => result.server === server.id && result.sentAt > from && result.endedAt < until).map(result => result.endedAt))
+const requestsWhileDraining = ({ server, from, until }: DrainPeriod, ownResults: readonly Result[], disturbed: Disturbed): string[] => {
+  const announcedAt = Math.min(...ownResults.filter(result => result.server === server.id && result.sentAt > from && result.endedAt < until).map(result => result.endedAt))
   const arrivals = new Map(server.arrivals.filter(({ at }) => at < until).map(({ id, at }) => [id, at]))
-  return mine
-    .filter(result => result.sentAt > toldAt + drainMs && !disturbed(toldAt, arrivals.get(result.id) ?? 0) && arrivals.has(result.id))
-    .map(({ id, sentAt }) => `${id} reached ${server.id}, sent ${Math.round(sentAt - toldAt)} ms after an answer that says it leaves`)
+  return ownResults
+    .filter(result => result.sentAt > announcedAt + drainMs && !disturbed(announcedAt, arrivals.get(result.id) ?? 0) && arrivals.has(result.id))
+    .map(({ id, sentAt }) => `${id} reached ${server.id}, sent ${Math.round(sentAt - announcedAt)} ms after a response that announced draining`)
 }
 
-const withinRest = ({ server, restMs, from, until }: Overload, isMine: (id: string) => boolean, disturbed: Disturbed): string[] => {
-  const mine = server.arrivals.filter(({ id }) => isMine(id))
-  const asked = mine.filter(({ refused, at }) => refused && at > from && at < until)
-  return asked.flatMap(({ at, id }) => {
-    const within = mine.filter(other => other.at > at + bindingMs && other.at < at + restMs)
-    if (within.length <= mostInRest || disturbed(at, at + restMs)) return []
-    return [`${within.length} requests reached ${server.id} within ${restMs} ms of rest asked for with the refusal of ${id}`]
+const requestsDuringBackoff = ({ server, backoffMs, from, until }: OverloadPeriod, isMine: (id: string) => boolean, disturbed: Disturbed): string[] => {
+  const ownArrivals = server.arrivals.filter(({ id }) => isMine(id))
+  const rejections = ownArrivals.filter(({ refused, at }) => refused && at > from && at < until)
+  return rejections.flatMap(({ at, id }) => {
+    const within = ownArrivals.filter(other => other.at > at + backoffDelayMs && other.at < at + backoffMs)
+    if (within.length <= maxRequestsInBackoff || disturbed(at, at + backoffMs)) return []
+    return [`${within.length} requests reached ${server.id} during the backoff of ${backoffMs} ms that it requested when it rejected ${id}`]
   })
 }
--- a/packages/stand-ins/src/channel-options.ts
+++ b/packages/stand-ins/src/channel-options.ts
@@ -1,10 +1,10 @@
 /**
- * What a process says of itself on a channel, for tests of what speaks over one.
+ * Channel options of a test process: the hello and heartbeat frames that it sends.
  */
 import { Address, FailureDomain, ProcessId, Revision, newIncarnation } from '@finchpitch/core'
 import { protocolVersion, type ChannelOptions } from '@finchpitch/wire'
 
-/** Of a process that has read nothing yet. */
+/** For a process that has not read any configuration yet; it reports revision 0. */
 export const channelOptions = (name: string): ChannelOptions => {
   const revision = Revision.parse(0)
   return {
--- a/packages/stand-ins/src/duplex-pair.ts
+++ b/packages/stand-ins/src/duplex-pair.ts
@@ -1,14 +1,14 @@
 /**
- * A connection in memory, for tests of what speaks over one.
+ * An in-memory connection, for tests of protocols.
  */
 import { Duplex } from 'node:stream'
 
-/** Its two ends: what is written to one is read from the other, and the end of one ends the other. */
+/** Returns the two ends: data written to one is read from the other, and destroying one destroys the other. */
 export const duplexPair = (): [Duplex, Duplex] => {
   const make = (other: () => Duplex): Duplex => new Duplex({
     read () {},
-    write (piece, _encoding, done) {
-      other().push(piece)
+    write (chunk, _encoding, done) {
+      other().push(chunk)
       done()
     },
     destroy (error, done) {
@@ -16,7 +16,7 @@
       done(error)
     }
   })
-  const near: Duplex = make(() => far)
-  const far: Duplex = make(() => near)
-  return [near, far]
+  const first: Duplex = make(() => second)
+  const second: Duplex = make(() => first)
+  return [first, second]
 }
--- a/packages/stand-ins/src/engine-server.ts
+++ b/packages/stand-ins/src/engine-server.ts
@@ -1,6 +1,6 @@
 /**
- * The model engine's stand-in over HTTP, in the OpenAI-style shape with adapter orders, numbered events and
- * resumption by `Last-Event-ID`.
+ * HTTP server for a `MemoryEngine`: an OpenAI-style API with orders to load and unload adapters, a stream of cache events, and
+ * response streams with numbered events that can be resumed with `Last-Event-ID`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { BackendFault, GeneratedAnswer } from '@finchpitch/backend'
@@ -9,20 +9,21 @@
 
 const faultStatuses: Record<BackendFault['code'], number> = { unreachable: 503, lost: 502, not_loaded: 404, fenced: 412, busy: 429, refused: 400 }
 
-/** Streams that can be resumed, also after the engine has come to their end. */
-const keptStreams = 1000
+/** Number of response streams kept for resumption, including complete ones. */
+const maxRetainedStreams = 1000
 
-interface Stream {
+interface RecordedStream {
   events: Uint8Array[]
   ended: boolean
   wake: Set<() => void>
 }
 
 export class EngineServer extends HttpStandIn {
-  /** So many next streams are cut after this many events. */
+  /** Number of next response streams to cut off. */
   cuts = 0
+  /** Number of events that a stream sends before it is cut off. */
   cutAfter = 3
-  readonly #streams = new Map<string, Stream>()
+  readonly #streams = new Map<string, RecordedStream>()
 
   constructor (readonly engine: MemoryEngine) {
     super()
@@ -43,29 +44,29 @@
   async #load (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = await readJson(request) as { lora_name: string, lora_path: string }
     const loaded = await this.engine.load({ label: order.lora_name, source: order.lora_path, fence: fenceOf(request) })
-    if (loaded.isErr()) return this.#refuse(response, loaded.error)
+    if (loaded.isErr()) return this.#sendFault(response, loaded.error)
     sendJson(response, 200, {}, { 'x-engine-boot': loaded.value })
   }
 
   async #unload (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = await readJson(request) as { lora_name: string }
     const unloaded = await this.engine.unload({ label: order.lora_name, fence: fenceOf(request) })
-    if (unloaded.isErr()) return this.#refuse(response, unloaded.error)
+    if (unloaded.isErr()) return this.#sendFault(response, unloaded.error)
     sendJson(response, 200, {}, { 'x-engine-boot': this.engine.boot })
   }
 
   async #cacheEvents (response: ServerResponse): Promise<void> {
-    const hangUp = new AbortController()
-    response.once('close', () => hangUp.abort())
+    const disconnected = new AbortController()
+    response.once('close', () => disconnected.abort())
     response.writeHead(200, { 'content-type': 'text/event-stream' })
     response.flushHeaders()
-    for await (const event of this.engine.cacheEvents(hangUp.signal)) response.write(`data: ${JSON.stringify(event)}\n\n`)
+    for await (const event of this.engine.cacheEvents(disconnected.signal)) response.write(`data: ${JSON.stringify(event)}\n\n`)
   }
 
   async #cancel (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = await readJson(request) as { request_id: string }
     const cancelled = await this.engine.cancel({ id: order.request_id, fence: fenceOf(request) })
-    if (cancelled.isErr()) return this.#refuse(response, cancelled.error)
+    if (cancelled.isErr()) return this.#sendFault(response, cancelled.error)
     sendJson(response, 200, {}, { 'x-engine-boot': this.engine.boot })
   }
 
@@ -74,23 +75,23 @@
     const id = String(request.headers['x-request-id'])
     const lastEvent = request.headers['last-event-id']
     if (lastEvent !== undefined) return await this.#resume(id, Number(lastEvent), response)
-    const hangUp = new AbortController()
+    const disconnected = new AbortController()
     const { model, cache_salt: salt } = JSON.parse(body.toString()) as { model: string, cache_salt?: string }
     const call = { method: 'POST', path: request.url ?? '', headers: {}, body }
-    const answer = await this.engine.generate({ id, label: model, call, priority: 0, salt: salt ?? '', fence: fenceOf(request), signal: hangUp.signal })
-    if (answer.isErr()) return this.#refuse(response, answer.error)
+    const answer = await this.engine.generate({ id, label: model, call, priority: 0, salt: salt ?? '', fence: fenceOf(request), signal: disconnected.signal })
+    if (answer.isErr()) return this.#sendFault(response, answer.error)
     const { status, headers, boot } = answer.value
     response.writeHead(status, { ...headers, 'x-engine-boot': boot })
     response.flushHeaders()
     if (headers['content-type'] === 'text/event-stream') return await this.#send(this.#record(id, answer.value), 0, response)
-    response.once('close', () => hangUp.abort())
-    for await (const piece of answer.value.body) response.write(piece)
+    response.once('close', () => disconnected.abort())
+    for await (const chunk of answer.value.body) response.write(chunk)
     response.end()
   }
 
-  /** Reads the stream into a record, so that it can be resumed. */
-  #record (id: string, answer: GeneratedAnswer): Stream {
-    const stream: Stream = { events: [], ended: false, wake: new Set() }
+  /** Buffers the engine's response stream independently of the client connection, so that it can be resumed. */
+  #record (id: string, answer: GeneratedAnswer): RecordedStream {
+    const stream: RecordedStream = { events: [], ended: false, wake: new Set() }
     const notify = (): void => {
       for (const wake of stream.wake) wake()
       stream.wake.clear()
@@ -108,12 +109,12 @@
     }
     this.#streams.set(id, stream)
     const [oldest] = this.#streams.keys()
-    if (this.#streams.size > keptStreams && oldest !== undefined) this.#streams.delete(oldest)
+    if (this.#streams.size > maxRetainedStreams && oldest !== undefined) this.#streams.delete(oldest)
     read().catch(() => {})
     return stream
   }
 
-  async #send (stream: Stream, from: number, response: ServerResponse): Promise<void> {
+  async #send (stream: RecordedStream, from: number, response: ServerResponse): Promise<void> {
     const cut = this.cuts > 0
     if (cut) this.cuts -= 1
     for (let at = from; ; at++) {
@@ -122,7 +123,7 @@
       if (event === undefined || (cut && at - from >= this.cutAfter)) break
       response.write(event)
     }
-    if (cut || !isWhole(stream)) response.destroy()
+    if (cut || !isComplete(stream)) response.destroy()
     else response.end()
   }
 
@@ -133,7 +134,7 @@
     await this.#send(stream, lastEvent + 1, response)
   }
 
-  #refuse (response: ServerResponse, { code, detail, boot }: BackendFault): void {
+  #sendFault (response: ServerResponse, { code, detail, boot }: BackendFault): void {
     if (code === 'lost') response.destroy()
     else sendJson(response, faultStatuses[code], { error: detail }, boot === undefined ? {} : { 'x-engine-boot': boot })
   }
@@ -141,5 +142,5 @@
 
 const fenceOf = (request: IncomingMessage): number => Number(request.headers['x-fence'])
 
-const isWhole = ({ events }: Stream): boolean =>
+const isComplete = ({ events }: RecordedStream): boolean =>
   Buffer.from(events.at(-1) ?? '').toString().includes('[DONE]')
--- a/packages/stand-ins/src/fake-time.ts
+++ b/packages/stand-ins/src/fake-time.ts
@@ -1,15 +1,15 @@
 /**
- * The runtime's clock, paused: time passes only as a test says.
+ * A fake clock for tests: time only advances when the test advances it.
  *
- * Sockets and promises go on by themselves; timers and the date are the test's.
+ * Timers, `Date` and `performance` are faked. Sockets, promises and `setImmediate` work as usual.
  */
 import { install, type Clock } from '@sinonjs/fake-timers'
 
 const faked = ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'Date', 'performance'] as const
-const quietTurns = 3
-const mostSteps = 200_000
+const defaultTurns = 3
+const maxTimerSteps = 200_000
 
-const turn = (): Promise<void> => new Promise(resolve => setImmediate(resolve))
+const nextTurn = (): Promise<void> => new Promise(resolve => setImmediate(resolve))
 
 export class FakeTime {
   readonly #clock: Clock
@@ -18,39 +18,39 @@
     this.#clock = install({ now, toFake: [...faked] })
   }
 
-  /** Lets everything happen that needs no time. */
-  async settle (turns = quietTurns): Promise<void> {
-    for (let each = 0; each < turns; each++) await turn()
+  /** Waits for pending work that needs no timer: promise callbacks and socket events of the next `turns` event loop iterations. */
+  async settle (turns = defaultTurns): Promise<void> {
+    for (let each = 0; each < turns; each++) await nextTurn()
   }
 
-  /** Lets `ms` pass, with everything that falls due. */
+  /** Advances time by `ms` and runs the timers that become due, with the promise callbacks between them. */
   async pass (ms: number): Promise<void> {
     await this.settle()
     await this.#clock.tickAsync(ms)
     await this.settle()
   }
 
-  /** Lets `ms` pass at once, with the timers that fall due and nothing that waits for promises. */
+  /** Advances time by `ms` synchronously: runs the timers that become due, but no promise callbacks. */
   jump (ms: number): void {
     this.#clock.tick(ms)
   }
 
-  /** The machine is suspended for `ms`: the time of day goes on, the steady clock and timers stand still. */
+  /** Simulates a machine suspended for `ms`: the wall clock advances, the monotonic clock and the timers do not. */
   suspend (ms: number): void {
     this.#clock.setSystemTime(Date.now() + ms)
   }
 
-  /** Moves from timer to timer until `promise` has settled. */
+  /** Advances from timer to timer until `promise` has settled; throws if it does not within `maxTimerSteps`. */
   async until<T> (promise: Promise<T>): Promise<T> {
     let settled = false
     const mark = (): void => { settled = true }
     promise.then(mark, mark)
-    for (let step = 0; step < mostSteps; step++) {
+    for (let step = 0; step < maxTimerSteps; step++) {
       await this.settle()
       if (settled) return await promise
       if (this.#clock.countTimers() > 0) await this.#clock.nextAsync()
     }
-    throw new Error('nothing that time brings settles the promise')
+    throw new Error('the promise did not settle within the maximum number of timer steps')
   }
 
   restore (): void {
--- a/packages/stand-ins/src/fleet/backend-server.ts
+++ b/packages/stand-ins/src/fleet/backend-server.ts
@@ -1,8 +1,8 @@
 /**
- * A stand-in for a backend server of the users' platform: a model engine with adapter places, or a plain service.
+ * A stand-in for a backend server of the users' platform: a model engine with adapter slots, or a plain service.
  *
- * An engine counts its orders, loads adapters in some milliseconds, falls when it is ordered beyond its places, and
- * answers streams of events. Faults are switched on by the test.
+ * An engine counts the orders that it executes, takes some milliseconds to load an adapter, records whether it was ordered to load more
+ * adapters than it has slots, and responds with event streams. Tests switch faults on and off.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { pause } from '@finchpitch/core'
@@ -10,7 +10,7 @@
 
 export interface BackendServerOptions {
   id: string
-  /** Present at an engine. */
+  /** Only for a model engine; absent for a plain service. */
   engine?: { model: string, places: number, loadMs: number }
   workMs: number
   events: number
@@ -27,45 +27,51 @@
   fence: number
 }
 
+/**
+ * `mute`: requests count as run, but get no response. `reset`: requests count as run, and their connections are closed without a
+ * response. `failing`: responses have status 500. `shedding`: requests are rejected with status 503. `torn`: responses are cut off.
+ * `unsealed`: responses lack the response seal. `foreign`: responses carry the id of another request.
+ */
 export type BackendFault = 'none' | 'mute' | 'reset' | 'failing' | 'shedding' | 'torn' | 'unsealed' | 'foreign'
 
 export class BackendStandIn extends HttpStandIn {
   id: string
   fault: BackendFault = 'none'
-  /** Orders get no answer and are carried out this much later. */
+  /** Orders get no response and are executed after this delay. */
   lateOrdersMs = 0
-  /** Of so many orders one is late. */
+  /** The delay applies to one in this many orders. */
   lateEvery = 1
-  #received = 0
-  /** It says in all its answers that it leaves. */
+  #ordersReceived = 0
+  /** All its responses announce that it is draining. */
   leaving = false
-  /** What it asks for with each 503, in seconds; `undefined` for no rest. */
+  /** The Retry-After value, in seconds, of its 503 responses; `undefined` for responses without the header. */
   restSeconds: string | undefined
-  /** It refuses all requests and asks for so much rest each time. */
+  /** While set, it rejects all requests with 503 and this Retry-After time. */
   overloadedRestMs: number | undefined
-  /** The requests a second that it says it takes, with all its answers. */
+  /** The rate limit, in requests per second, that all its responses advertise. */
   limitPerSecond: number | undefined
-  /** When it started, as the store and its report say. */
+  /** Its start time, as given in its store entry and its report. */
   bornAt: number | undefined
-  /** Every request that reached it, when, and whether it was turned away. */
+  /** Every request that reached it, when, and whether it was rejected. */
   readonly arrivals: Array<{ id: string, at: number, refused: boolean }> = []
-  /** Every request that began to run, by its id. */
+  /** The ids of the requests that began to run, in order. */
   readonly ran: string[] = []
-  /** The headers that each came with. */
+  /** By id, the headers of each of these requests. */
   readonly headers = new Map<string, IncomingMessage['headers']>()
-  /** Requests whose caller was gone before their end. */
+  /** The ids of requests whose connection closed before the response was complete. */
   readonly left: string[] = []
   readonly orders: Order[] = []
-  /** It was ordered beyond its places. */
+  /** Whether it was ever ordered to load more adapters than it has slots. */
   fell = false
   adapters = new Map<string, number>()
   coming = new Map<string, number>()
   hasModel = true
   sequence = 0
-  /** A request to this path ends it, `fatalMs` after it began to run it. */
+  /** A request to this path crashes the server. */
   fatalPath: string | undefined
+  /** Time between the start of such a request and the crash. */
   fatalMs = 30
-  /** What the machine does when it ends. */
+  /** Called when the server crashes. */
   ending: () => void = () => {}
   running = 0
 
@@ -74,7 +80,7 @@
     this.id = options.id
   }
 
-  /** Comes back empty, under another id. */
+  /** Resets its state to that of a newly started server, without models, under the given id. */
   restart (id: string): void {
     this.id = id
     this.adapters.clear()
@@ -105,16 +111,16 @@
   async #order (order: Order, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const expected = request.headers['expect-instance']
     if (expected !== undefined && expected !== this.id) return sendJson(response, 421, {}, { 'Instance-Id': this.id, 'Not-Executed': '1' })
-    this.#received += 1
-    if (this.lateOrdersMs > 0 && this.#received % this.lateEvery === 0) {
+    this.#ordersReceived += 1
+    if (this.lateOrdersMs > 0 && this.#ordersReceived % this.lateEvery === 0) {
       await pause(this.lateOrdersMs)
-      this.#carryOut(order)
+      this.#execute(order)
       return
     }
-    sendJson(response, this.#carryOut(order), {})
+    sendJson(response, this.#execute(order), {})
   }
 
-  #carryOut (order: Order): number {
+  #execute (order: Order): number {
     if (order.expectedCount !== undefined && order.expectedCount !== this.sequence) return 409
     this.orders.push(order)
     this.sequence += 1
@@ -128,8 +134,8 @@
       return 200
     }
     this.coming.set(adapter, order.version ?? 1)
-    const taken = new Set([...this.adapters.keys(), ...this.coming.keys()]).size
-    if (taken > (this.options.engine?.places ?? 0)) this.fell = true
+    const usedSlots = new Set([...this.adapters.keys(), ...this.coming.keys()]).size
+    if (usedSlots > (this.options.engine?.places ?? 0)) this.fell = true
     setTimeout(() => {
       if (!this.coming.has(adapter)) return
       this.coming.delete(adapter)
@@ -141,9 +147,9 @@
   async #serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBytes(request)
     const requestId = String(request.headers['request-id'] ?? '')
-    const refused = this.#refusal(request)
+    const refused = this.#rejectionStatus(request)
     this.arrivals.push({ id: requestId, at: performance.now(), refused: refused !== undefined })
-    if (refused !== undefined) return sendJson(response, refused, {}, this.#refusalHeaders(refused))
+    if (refused !== undefined) return sendJson(response, refused, {}, this.#rejectionHeaders(refused))
     this.ran.push(requestId)
     this.headers.set(requestId, request.headers)
     response.on('close', () => { if (!response.writableFinished) this.left.push(requestId) })
@@ -152,29 +158,29 @@
       response.destroy()
       return
     }
-    if ((request.url ?? '') === this.fatalPath) return await this.#end()
+    if ((request.url ?? '') === this.fatalPath) return await this.#crash()
     this.running += 1
     try {
       await pause(this.options.workMs)
-      await this.#answer(requestId, body, response, Number(request.headers['last-event-id'] ?? 0))
+      await this.#respond(requestId, body, response, Number(request.headers['last-event-id'] ?? 0))
     } finally {
       this.running -= 1
     }
   }
 
-  /** The process ends with all that it runs. */
-  async #end (): Promise<void> {
+  /** Crashes the server, with all requests that it runs. */
+  async #crash (): Promise<void> {
     await pause(this.fatalMs)
     this.ending()
   }
 
-  #misdirected (request: IncomingMessage): boolean {
+  #isMisdirected (request: IncomingMessage): boolean {
     const expected = request.headers['expect-instance']
     return expected !== undefined && expected !== this.id
   }
 
-  #refusal (request: IncomingMessage): number | undefined {
-    if (this.#misdirected(request)) return 421
+  #rejectionStatus (request: IncomingMessage): number | undefined {
+    if (this.#isMisdirected(request)) return 421
     if (this.fault === 'shedding' || this.overloadedRestMs !== undefined) return 503
     if (this.options.engine === undefined) return undefined
     if (!this.hasModel) return 421
@@ -185,15 +191,15 @@
     return held === undefined || (expected !== undefined && Number(expected) !== held) ? 421 : undefined
   }
 
-  #refusalHeaders (status: number): Record<string, string> {
+  #rejectionHeaders (status: number): Record<string, string> {
     const seconds = this.overloadedRestMs === undefined ? this.restSeconds : String(this.overloadedRestMs / 1000)
-    const rest: Record<string, string> = status === 503 && seconds !== undefined ? { 'Retry-After': seconds } : {}
-    return { 'Not-Executed': '1', ...rest, ...(status === 421 ? { 'Instance-Id': this.id } : {}) }
+    const retryAfter: Record<string, string> = status === 503 && seconds !== undefined ? { 'Retry-After': seconds } : {}
+    return { 'Not-Executed': '1', ...retryAfter, ...(status === 421 ? { 'Instance-Id': this.id } : {}) }
   }
 
-  async #answer (requestId: string, body: Buffer, response: ServerResponse, after: number): Promise<void> {
-    const echoed = this.fault === 'foreign' ? 'another' : requestId
-    const headers = { 'Request-Id': echoed, ...(this.fault === 'unsealed' ? {} : { 'Response-Seal': `seal-${this.id}` }) }
+  async #respond (requestId: string, body: Buffer, response: ServerResponse, after: number): Promise<void> {
+    const echoedId = this.fault === 'foreign' ? 'another' : requestId
+    const headers = { 'Request-Id': echoedId, ...(this.fault === 'unsealed' ? {} : { 'Response-Seal': `seal-${this.id}` }) }
     if (this.fault === 'failing') return sendJson(response, 500, {}, headers)
     if (this.options.engine === undefined) {
       const text = `done ${requestId} ${body.length}`
--- a/packages/stand-ins/src/fleet/caller.ts
+++ b/packages/stand-ins/src/fleet/caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller of a fleet.
+ * Sends requests to the entries of a test fleet, as a caller does.
  */
 import { request, type Agent, type IncomingHttpHeaders } from 'node:http'
 import type { FleetSystem } from './fleet-system.js'
@@ -8,7 +8,7 @@
   status: number
   headers: IncomingHttpHeaders
   body: string
-  /** It came to its end. */
+  /** Whether the response was received completely. */
   whole: boolean
 }
 
@@ -16,26 +16,26 @@
   path: string
   id: string
   model?: string
-  /** Time that the caller states it has left. */
+  /** The deadline that the caller sends, as the time left in ms. */
   remainingMs?: number
   headers?: Record<string, string | string[]>
   agent?: Agent
-  /** The place of the entry in the fleet's list. */
+  /** Index of the entry in the fleet's `entries`. */
   entry?: number
-  /** The caller closes its connection then. */
+  /** The caller closes its connection after this time. */
   leaveAfterMs?: number
   body?: string
 }
 
-/** Rejects where no answer begins. */
+/** Sends a request. Rejects if the connection ends before a response begins. */
 export const askFleet = (fleet: FleetSystem, { path, id, model, remainingMs = 3000, headers = {}, agent, entry = 0, leaveAfterMs, body = '{"ask":1}' }: Ask): Promise<Reply> => new Promise((resolve, reject) => {
-  const all = { host: 'fleet.example', 'request-id': id, 'deadline-ms': String(remainingMs), ...(model === undefined ? {} : { model }), ...headers }
-  const outgoing = request({ ...fleet.callerAddress(entry), method: 'POST', path, headers: all, agent }, answer => {
+  const allHeaders = { host: 'fleet.example', 'request-id': id, 'deadline-ms': String(remainingMs), ...(model === undefined ? {} : { model }), ...headers }
+  const outgoing = request({ ...fleet.callerAddress(entry), method: 'POST', path, headers: allHeaders, agent }, response => {
     let text = ''
-    answer.setEncoding('utf8').on('data', (piece: string) => { text += piece })
-    const end = (whole: boolean) => (): void => resolve({ status: answer.statusCode ?? 0, headers: answer.headers, body: text, whole })
-    answer.on('end', end(true))
-    answer.on('error', end(false))
+    response.setEncoding('utf8').on('data', (chunk: string) => { text += chunk })
+    const finish = (whole: boolean) => (): void => resolve({ status: response.statusCode ?? 0, headers: response.headers, body: text, whole })
+    response.on('end', finish(true))
+    response.on('error', finish(false))
   })
   outgoing.on('error', reject)
   outgoing.end(body)
--- a/packages/stand-ins/src/fleet/eventually.ts
+++ b/packages/stand-ins/src/fleet/eventually.ts
@@ -1,15 +1,15 @@
 /**
- * Waiting for what is expected to come about.
+ * Polls for a condition that is expected to become true.
  */
 import { pause } from '@finchpitch/core'
 
-const lookMs = 20
+const pollMs = 20
 
-/** Resolves once `check` holds; rejects with `what` where it doesn't within `ms`. */
+/** Resolves once `check` returns true; rejects, with `what` in the message, if it does not within `ms`. */
 export const eventually = async (what: string, check: () => boolean | Promise<boolean>, ms = 4000): Promise<void> => {
-  const until = Date.now() + ms
+  const deadline = Date.now() + ms
   while (!await check()) {
-    if (Date.now() > until) throw new Error(`not within ${ms} ms: ${what}`)
-    await pause(lookMs)
+    if (Date.now() > deadline) throw new Error(`condition not met within ${ms} ms: ${what}`)
+    await pause(pollMs)
   }
 }
--- a/packages/stand-ins/src/fleet/fault-proxy.ts
+++ b/packages/stand-ins/src/fleet/fault-proxy.ts
@@ -1,5 +1,5 @@
 /**
- * A proxy on loopback that harms connections: delays, resets, silences or cuts them one way.
+ * A TCP proxy on loopback that injects connection faults: delays, resets, silence in both directions, or lost responses.
  */
 import { connect, createServer, type Server, type Socket } from 'node:net'
 import { once } from 'node:events'
@@ -8,14 +8,14 @@
   | { type: 'none' }
   | { type: 'delay', ms: number }
   | { type: 'reset' }
-  /** Connections stay open and nothing passes. */
+  /** Connections stay open, but no data is forwarded. */
   | { type: 'silence' }
-  /** Requests pass, answers don't. */
+  /** Requests are forwarded, responses are not. */
   | { type: 'one_way' }
 
 /**
- * Resets a connection, or closes it where its end is on its way: a socket that is reset then never closes, and its process never
- * ends (seen with Node 20).
+ * Resets a connection, or destroys the socket without a reset if it was already ended: a socket that is reset after `end` never emits
+ * `close`, and its process never exits (seen with Node 20).
  */
 export const resetSocket = (socket: Socket): void => {
   if (socket.writableEnded) socket.destroy()
@@ -27,15 +27,15 @@
   readonly #pairs = new Set<[Socket, Socket]>()
   #server: Server | undefined
 
-  /** Listens at `ip:port` for what listens at `targetIp:target`. */
+  /** Listens at `ip:port` and forwards connections to `targetIp:target`. */
   async start (ip: string, port: number, target: number, targetIp = ip): Promise<void> {
-    const server = createServer({ allowHalfOpen: true }, near => this.#join(near, connect({ host: targetIp, port: target, allowHalfOpen: true })))
+    const server = createServer({ allowHalfOpen: true }, client => this.#connect(client, connect({ host: targetIp, port: target, allowHalfOpen: true })))
     this.#server = server
     server.listen(port, ip)
     await once(server, 'listening')
   }
 
-  /** Resets what is open. */
+  /** Resets all open connections. */
   resetAll (): void {
     for (const pair of this.#pairs) for (const socket of pair) resetSocket(socket)
   }
@@ -49,17 +49,17 @@
     await closed
   }
 
-  #join (near: Socket, far: Socket): void {
+  #connect (client: Socket, upstream: Socket): void {
     if (this.harm.type === 'reset') {
-      resetSocket(near)
-      far.destroy()
+      resetSocket(client)
+      upstream.destroy()
       return
     }
-    const pair: [Socket, Socket] = [near, far]
+    const pair: [Socket, Socket] = [client, upstream]
     this.#pairs.add(pair)
-    this.#pass(near, far, false)
-    this.#pass(far, near, true)
-    for (const [socket, other] of [[near, far], [far, near]] as const) {
+    this.#forward(client, upstream, false)
+    this.#forward(upstream, client, true)
+    for (const [socket, other] of [[client, upstream], [upstream, client]] as const) {
       socket.on('error', () => resetSocket(other))
       socket.on('close', () => {
         this.#pairs.delete(pair)
@@ -68,15 +68,15 @@
     }
   }
 
-  #pass (from: Socket, to: Socket, answers: boolean): void {
-    from.on('data', (piece: Buffer) => this.#harmed(() => to.write(piece), answers))
-    from.on('end', () => this.#harmed(() => to.end(), answers))
+  #forward (from: Socket, to: Socket, isResponse: boolean): void {
+    from.on('data', (chunk: Buffer) => this.#sendWithFault(() => to.write(chunk), isResponse))
+    from.on('end', () => this.#sendWithFault(() => to.end(), isResponse))
   }
 
-  #harmed (send: () => void, answers: boolean): void {
-    const { harm } = this
-    if (harm.type === 'silence' || (harm.type === 'one_way' && answers)) return
-    if (harm.type === 'delay') setTimeout(send, harm.ms)
+  #sendWithFault (send: () => void, isResponse: boolean): void {
+    const { harm: fault } = this
+    if (fault.type === 'silence' || (fault.type === 'one_way' && isResponse)) return
+    if (fault.type === 'delay') setTimeout(send, fault.ms)
     else send()
   }
 }
--- a/packages/stand-ins/src/fleet/fleet-system.ts
+++ b/packages/stand-ins/src/fleet/fleet-system.ts
@@ -1,6 +1,6 @@
 /**
- * A small fleet on loopback: the platform's stand-ins and real processes of the adapter, each with an address of its
- * own as its machine.
+ * A small fleet on loopback: real entry and side processes of the platform adapter, with stand-ins for the store and the backend
+ * servers. Each machine of the fleet has its own loopback address.
  */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { once } from 'node:events'
@@ -18,17 +18,17 @@
 const program = fileURLToPath(new URL('../../../../platform/dist/start.js', import.meta.url))
 const ports = { caller: 8149, ready: 8141, peer: 7380, control: 8144, app: 8145, store: 8142 }
 
-/** A machine that needs longer to start a fleet can't run it either. */
-const mostStartMs = 20_000
+/** A host that needs longer to start the fleet is too slow to run the tests. */
+const maxStartMs = 20_000
 
-/** A backend server whose process has ended is back after so long. */
-const downMs = 500
+/** Time after which a crashed backend server restarts. */
+const restartDelayMs = 500
 
-/** Ports of servers that stand behind something else. */
-const hiddenBy = 10_000
+/** Offset of the port of a server that has a proxy at its own address. */
+const proxiedPortOffset = 10_000
 
 export interface FleetOptions {
-  /** The second number of all its addresses, so that fleets of one machine don't meet. */
+  /** The second octet of all addresses, so that fleets on one host do not share addresses. */
   network: number
   domains: number
   entriesPerDomain: number
@@ -39,15 +39,15 @@
   workMs: number
   events: number
   eventMs: number
-  /** When all backend servers started, as they say; they say nothing of it without. */
+  /** The start time that all backend servers report; without it, they report none. */
   bornAt?: number
   bounds?: Record<string, number>
   nodeOptions?: string[]
-  /** Each entry reaches the store through a proxy of its own. */
+  /** Whether each entry connects to the store through its own proxy. */
   storeFronts?: boolean
-  /** Puts something between a server and its address: listens at `ip:port` for what listens at `ip:target`. */
+  /** Called for each stand-in to start a proxy in front of it, which listens at `ip:port` and forwards to `ip:target`. */
   between?: (ip: string, port: number, target: number) => Promise<void>
-  /** Program and arguments before the role; the compiled adapter by default. */
+  /** The script that the processes run, with the role as its argument; the compiled platform adapter by default. */
   program?: string
 }
 
@@ -68,13 +68,13 @@
   readonly plain: BackendStandIn[] = []
   readonly entries: Machine[] = []
   readonly sides: Machine[] = []
-  /** What stands between each entry and the store, by the place of the entry; empty without `storeFronts`. */
+  /** The proxies between the entries and the store, by index of the entry; empty unless enabled by the option of this name. */
   readonly storeFronts: FaultProxy[] = []
-  /** Routes of every table beside the lasting ones. */
+  /** Routes that every routing table contains in addition to the fixed ones. */
   moreRoutes: unknown[] = []
-  readonly #places = new Map<BackendStandIn, { ip: string, domain: string }>()
-  /** Backend servers whose processes have ended and are not back. */
-  readonly #restarts = new Map<BackendStandIn, Promise<void>>()
+  readonly #locations = new Map<BackendStandIn, { ip: string, domain: string }>()
+  /** Backend servers that have crashed and not restarted yet. */
+  readonly #pendingRestarts = new Map<BackendStandIn, Promise<void>>()
   #folder = ''
   #stopped = false
 
@@ -85,24 +85,24 @@
     await this.#listen(this.store, this.#ip(200, 1), ports.store)
     this.store.put('config', 'main', this.table(1))
     for (let domain = 0; domain < this.options.domains; domain++) await this.#startDomain(domain)
-    if (this.options.storeFronts === true) await this.#startStoreFronts()
+    if (this.options.storeFronts === true) await this.#startStoreProxies()
     for (const machine of [...this.entries, ...this.sides]) await this.startProcess(machine)
-    await this.#joined()
+    await this.#sidesConnected()
   }
 
   /**
-   * Until each entry has joined the side processes of its domain. A start takes 0.3 s, and over 3 s beside fleets of 55
-   * processes that start too: tests that waited a fixed time from the start on met processes that were not there yet.
+   * Resolves once each entry is connected to the side processes of its domain. A start takes 0.3 s, but over 3 s while fleets of 55
+   * processes start on the same host: tests that waited a fixed time ran before all processes were ready.
    */
-  async #joined (): Promise<void> {
+  async #sidesConnected (): Promise<void> {
     const { enginesPerDomain } = this.options
-    const joins = (entry: Machine): number => this.lines(entry).filter(line => line.event === 'side.joined').length
-    await eventually('all entries have joined their side processes', () => this.entries.every(entry => joins(entry) >= enginesPerDomain), mostStartMs)
+    const connections = (entry: Machine): number => this.lines(entry).filter(line => line.event === 'side.joined').length
+    await eventually('all entries are connected to their side processes', () => this.entries.every(entry => connections(entry) >= enginesPerDomain), maxStartMs)
   }
 
-  /** The routing table as the operator writes it. */
-  table (version: number, more: Record<string, unknown> = {}): unknown {
-    const { places } = this.options
+  /** Returns a routing table as the operator writes it to the store; `overrides` replaces top-level fields. */
+  table (version: number, overrides: Record<string, unknown> = {}): unknown {
+    const { places: adapterSlots } = this.options
     const stream = { kind: 'stream', timeoutMs: 5000, targetLatencyMs: 600, priority: 1, service: engineService, sticky: true, gapAimMs: 400 }
     const plain = { timeoutMs: 1000, targetLatencyMs: 150, priority: 2, service: plainService, sticky: false, resumable: false }
     return {
@@ -115,11 +115,11 @@
         ...this.moreRoutes
       ],
       services: [
-        { name: engineService, healthPath: '/health', maxConnections: 200, engine: { slots: 32, adapterSlots: places, weightsMb: 2000, loadsPerS: 50, models: [{ name: model, weightsMb: 1000, loadS: 0.5, adapters: 3000, adapterMb: 12 }] } },
+        { name: engineService, healthPath: '/health', maxConnections: 200, engine: { slots: 32, adapterSlots, weightsMb: 2000, loadsPerS: 50, models: [{ name: model, weightsMb: 1000, loadS: 0.5, adapters: 3000, adapterMb: 12 }] } },
         { name: plainService, healthPath: '/health', maxConnections: 90 }
       ],
       limits: { maxHeaderBytes: 16384, maxBodyBytes: 4194304, headerTimeoutMs: 3000, idleTimeoutMs: 15000 },
-      ...more
+      ...overrides
     }
   }
 
@@ -127,19 +127,19 @@
     const role = machine.name.startsWith('side') ? 'side' : 'entry'
     const path = join(this.#folder, `${machine.name}.toml`)
     await writeFile(path, this.#settings(machine, role))
-    const started = spawn(process.execPath, [...this.options.nodeOptions ?? [], this.options.program ?? program, role], {
+    const child = spawn(process.execPath, [...this.options.nodeOptions ?? [], this.options.program ?? program, role], {
       env: { ...process.env, FINCHPITCH_CONFIG: path }, stdio: ['ignore', 'pipe', 'inherit']
     })
-    started.stdout.setEncoding('utf8').on('data', (text: string) => machine.output.push(...text.split('\n').filter(line => line !== '')))
-    machine.process = started
+    child.stdout.setEncoding('utf8').on('data', (text: string) => machine.output.push(...text.split('\n').filter(line => line !== '')))
+    machine.process = child
   }
 
-  /** The log lines of a machine's processes, parsed. */
+  /** The parsed log lines of all processes that ran on a machine. */
   lines (machine: Machine): Array<Record<string, unknown>> {
     return machine.output.map(line => JSON.parse(line) as Record<string, unknown>)
   }
 
-  /** Keeps the lines of all machines in a file, for a failure that may not come back; gives its path. */
+  /** Writes the log lines of all machines to a file, for failures that are hard to reproduce. Returns the file's path. */
   async keepLines (name: string): Promise<string> {
     const path = join(tmpdir(), `fleet-${name.replaceAll(/\W+/g, '-')}-${Date.now()}.jsonl`)
     const lines = [...this.entries, ...this.sides].flatMap(machine => machine.output)
@@ -155,16 +155,16 @@
     return `http://${this.entries[entry]?.ip ?? ''}:${ports.ready}/v1/readiness`
   }
 
-  /** Lists a backend server again, where it was listed before. */
+  /** Writes the entry of an already registered backend server again, at the same address. */
   list (server: BackendStandIn, state = 'ready'): void {
-    const { ip, domain } = this.#places.get(server) ?? { ip: '', domain: '' }
+    const { ip, domain } = this.#locations.get(server) ?? { ip: '', domain: '' }
     this.register(server, ip, domain, state)
   }
 
-  /** Registers a backend server, as it does itself with its heartbeat. */
+  /** Writes a backend server's entry to the store, as real servers do themselves with each heartbeat. */
   register (server: BackendStandIn, ip: string, domain: string, state = 'ready'): void {
     const engine = server.options.engine
-    this.#places.set(server, { ip, domain })
+    this.#locations.set(server, { ip, domain })
     this.store.put('servers', server.id, {
       ...(server.bornAt === undefined ? {} : { born: server.bornAt }),
       service: engine === undefined ? plainService : engineService,
@@ -182,30 +182,30 @@
   async stop (): Promise<void> {
     this.#stopped = true
     await Promise.all([...this.entries, ...this.sides].map(machine => this.kill(machine)))
-    await Promise.all(this.#restarts.values())
+    await Promise.all(this.#pendingRestarts.values())
     await Promise.all([this.store, ...this.storeFronts, ...this.engines, ...this.plain].map(each => each.stop()))
     await rm(this.#folder, { recursive: true, force: true })
   }
 
   async kill (machine: Machine, signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
-    const started = machine.process
-    if (started === undefined || started.exitCode !== null || started.signalCode !== null) return
-    const ended = once(started, 'exit')
-    started.kill(signal)
-    await ended
+    const child = machine.process
+    if (child === undefined || child.exitCode !== null || child.signalCode !== null) return
+    const exited = once(child, 'exit')
+    child.kill(signal)
+    await exited
   }
 
   async #startDomain (domain: number): Promise<void> {
-    const { entriesPerDomain, enginesPerDomain, plainPerDomain, places, loadMs, workMs, events, eventMs } = this.options
+    const { entriesPerDomain, enginesPerDomain, plainPerDomain, places: adapterSlots, loadMs, workMs, events, eventMs } = this.options
     const name = `d${domain}`
     for (let each = 0; each < entriesPerDomain; each++) {
       this.entries.push({ name: `entry-${name}-${each}`, ip: this.#ip(domain, 10 + each), process: undefined, output: [] })
     }
     for (let each = 0; each < enginesPerDomain; each++) {
       const ip = this.#ip(domain, 100 + each)
-      const server = new BackendStandIn({ id: `engine-${name}-${each}`, engine: { model, places, loadMs }, workMs, events, eventMs })
+      const server = new BackendStandIn({ id: `engine-${name}-${each}`, engine: { model, places: adapterSlots, loadMs }, workMs, events, eventMs })
       await this.#listen(server, ip, ports.app)
-      server.ending = () => this.#end(server, ip, name)
+      server.ending = () => this.#handleCrash(server, ip, name)
       server.bornAt = this.options.bornAt
       this.engines.push(server)
       this.register(server, ip, name)
@@ -215,49 +215,52 @@
       const ip = this.#ip(domain, 200 + each)
       const server = new BackendStandIn({ id: `plain-${name}-${each}`, workMs, events, eventMs })
       await this.#listen(server, ip, ports.app)
-      server.ending = () => this.#end(server, ip, name)
+      server.ending = () => this.#handleCrash(server, ip, name)
       server.bornAt = this.options.bornAt
       this.plain.push(server)
       this.register(server, ip, name)
     }
   }
 
-  /** Its process ends once, whatever else it ran would end it too: two that start again would both listen, one of them for good. */
-  #end (server: BackendStandIn, ip: string, domain: string): void {
-    if (this.#restarts.has(server)) return
-    this.#restarts.set(server, this.#restart(server, ip, domain).finally(() => this.#restarts.delete(server)))
+  /**
+   * Restarts a crashed backend server, once even if several of its requests crash it: of two concurrent restarts both would listen, and
+   * one of the listeners would never be closed.
+   */
+  #handleCrash (server: BackendStandIn, ip: string, domain: string): void {
+    if (this.#pendingRestarts.has(server)) return
+    this.#pendingRestarts.set(server, this.#restart(server, ip, domain).finally(() => this.#pendingRestarts.delete(server)))
   }
 
-  /** A backend server's process ends at once, and is back a moment later: empty, under another id, and in the list. */
+  /** Stops a backend server at once and starts it again after a delay, without models, under another id, and registered in the store. */
   async #restart (server: BackendStandIn, ip: string, domain: string): Promise<void> {
-    const former = server.id
+    const previousId = server.id
     await server.stop()
-    await pause(downMs)
+    await pause(restartDelayMs)
     if (this.#stopped) return
-    server.restart(`${former}-again`)
-    await server.start(ip, this.options.between === undefined ? ports.app : ports.app + hiddenBy)
-    this.store.remove('servers', former)
+    server.restart(`${previousId}-again`)
+    await server.start(ip, this.options.between === undefined ? ports.app : ports.app + proxiedPortOffset)
+    this.store.remove('servers', previousId)
     this.register(server, ip, domain)
   }
 
   async #listen (server: HttpStandIn, ip: string, port: number): Promise<void> {
-    const { between } = this.options
-    await server.start(ip, between === undefined ? port : port + hiddenBy)
-    await between?.(ip, port, port + hiddenBy)
+    const { between: insertProxy } = this.options
+    await server.start(ip, insertProxy === undefined ? port : port + proxiedPortOffset)
+    await insertProxy?.(ip, port, port + proxiedPortOffset)
   }
 
-  async #startStoreFronts (): Promise<void> {
+  async #startStoreProxies (): Promise<void> {
     for (const entry of this.entries) {
-      const front = new FaultProxy()
-      await front.start(this.#storeIp(entry), ports.store, ports.store, this.#ip(200, 1))
-      this.storeFronts.push(front)
+      const proxy = new FaultProxy()
+      await proxy.start(this.#storeIp(entry), ports.store, ports.store, this.#ip(200, 1))
+      this.storeFronts.push(proxy)
     }
   }
 
-  /** Where a machine finds the store. */
+  /** The address at which a machine reaches the store: its own proxy's, or the store's. */
   #storeIp (machine: Machine): string {
-    const place = this.options.storeFronts === true ? this.entries.indexOf(machine) : -1
-    return this.#ip(200, 2 + place)
+    const index = this.options.storeFronts === true ? this.entries.indexOf(machine) : -1
+    return this.#ip(200, 2 + index)
   }
 
   #ip (domain: number, machine: number): string {
--- a/packages/stand-ins/src/fleet/object-server.ts
+++ b/packages/stand-ins/src/fleet/object-server.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the users' platform's store: objects by kind and name, one revision counter, lists and long-polled
- * watches. It can be down, turn callers away, cut its watches, forget its history and be restored from a backup.
+ * A stand-in for the store of the users' platform: objects by kind and name, one revision counter, paged lists and long-polled watches.
+ * It can reject, reset or not answer its calls, be slow to list, compact its change history and be restored from a backup.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { pause } from '@finchpitch/core'
@@ -39,19 +39,19 @@
 const eraHeader = 'store-era'
 
 export class ObjectServer extends HttpStandIn {
-  /** Every call is answered so: 503, a reset, or not at all. */
+  /** The response to every call: status 503 for `busy`, a closed connection for `reset`, none for `silent`. */
   fault: 'none' | 'busy' | 'reset' | 'silent' = 'none'
-  /** How long a list takes. */
+  /** Delay before the response to a list call. */
   listMs = 0
   calls = 0
   /** The number of writes; a restore does not reset it. */
   writeCount = 0
   #era = 0
   #revision = 0
-  #oldest = 0
+  #compactedRevision = 0
   #objects = new Map<string, Map<string, FleetObject>>()
   #changes: Change[] = []
-  #wake = new Set<() => void>()
+  #wakeCallbacks = new Set<() => void>()
 
   get revision (): number {
     return this.#revision
@@ -66,7 +66,7 @@
     const createRev = before?.metadata.createRev ?? this.#revision
     const object = { metadata: { name, revision: this.#revision, createRev, finalizers: [], deleting: false }, spec, status: null }
     objects.set(name, object)
-    this.#changed({ kind, revision: this.#revision, deleted: false, object })
+    this.#recordChange({ kind, revision: this.#revision, deleted: false, object })
   }
 
   remove (kind: string, name: string): void {
@@ -75,13 +75,13 @@
     this.#objects.get(kind)?.delete(name)
     this.#revision += 1
     this.writeCount += 1
-    this.#changed({ kind, revision: this.#revision, deleted: true, object })
+    this.#recordChange({ kind, revision: this.#revision, deleted: true, object })
   }
 
-  /** Forgets the history: watches from before get 410. */
+  /** Discards the change history: watches from an earlier revision get status 410. */
   compact (): void {
     this.#changes = []
-    this.#oldest = this.#revision
+    this.#compactedRevision = this.#revision
     this.#wakeAll()
   }
 
@@ -134,20 +134,20 @@
   }
 
   async #watch (kind: string, since: number, waitMs: number, response: ServerResponse): Promise<void> {
-    const until = Date.now() + waitMs
+    const deadline = Date.now() + waitMs
     for (;;) {
-      if (since < this.#oldest || since > this.#revision) return this.#send(response, 410, {})
+      if (since < this.#compactedRevision || since > this.#revision) return this.#send(response, 410, {})
       const events = this.#changes.filter(change => change.kind === kind && change.revision > since)
-      if (events.length > 0 || Date.now() >= until || response.destroyed) {
+      if (events.length > 0 || Date.now() >= deadline || response.destroyed) {
         if (this.fault === 'silent') return
         const bodies = events.map(({ deleted, object }) => ({ deleted, object }))
         return this.#send(response, 200, { events: bodies, storeRevision: this.#revision })
       }
-      const woken = new AbortController()
-      const wake = (): void => woken.abort()
-      this.#wake.add(wake)
-      await pause(until - Date.now(), woken.signal)
-      this.#wake.delete(wake)
+      const changed = new AbortController()
+      const wake = (): void => changed.abort()
+      this.#wakeCallbacks.add(wake)
+      await pause(deadline - Date.now(), changed.signal)
+      this.#wakeCallbacks.delete(wake)
     }
   }
 
@@ -155,13 +155,13 @@
     sendJson(response, status, body, { [eraHeader]: String(this.#era) })
   }
 
-  #changed (change: Change): void {
+  #recordChange (change: Change): void {
     this.#changes.push(change)
     this.#wakeAll()
   }
 
   #wakeAll (): void {
-    for (const wake of this.#wake) wake()
+    for (const wake of this.#wakeCallbacks) wake()
   }
 }
 
--- a/packages/stand-ins/src/fleet/route-changes.ts
+++ b/packages/stand-ins/src/fleet/route-changes.ts
@@ -1,45 +1,49 @@
 /**
- * An operator who adds and drops routes, and callers who ask every entry for them: what was not in force in time.
+ * Adds and removes routes as an operator does, sends requests for them to every entry, and finds those that were handled by an outdated
+ * routing table.
  */
 import { Agent } from 'node:http'
 import { pause } from '@finchpitch/core'
 import { askFleet } from './caller.js'
 import { plainService, type FleetSystem } from './fleet-system.js'
 
-/** A caller's time; answers of plain servers take some ms. */
+/** The deadline that probes send; plain servers respond within some ms. */
 const remainingMs = 1000
-const defaultAskEveryMs = 25
-/** Of the routes that were added, and of those that were dropped, so many of the last are asked for. */
-const lastAsked = 2
-const served = 200
-const noRoute = 404
-const notRun = 503
-
-/** A route with the times of the acknowledgements of its changes, on the steady clock. */
+const defaultProbeIntervalMs = 25
+/** Probes are sent for this many of the most recently added routes, and as many of the most recently removed ones. */
+const probedRoutes = 2
+const servedStatus = 200
+const noRouteStatus = 404
+const notRunStatus = 503
+
+/** A route, and when the store acknowledged its addition and its removal, on the monotonic clock. */
 interface ChangingRoute {
   path: string
   addedAt: number
   droppedAt: number
 }
 
-/** One request for such a route. */
+/** A request for such a route. */
 export interface RouteProbe {
   id: string
   route: ChangingRoute
-  /** The place of the entry that was asked. */
+  /** Index of the entry that the request was sent to. */
   entry: number
   sentAt: number
   endedAt: number
   status: number
 }
 
-/** `missing`: refused though the route is there; `dropped`: served though it no longer is; `older`: refused after it had been served. */
+/**
+ * `missing`: answered with 404 although the route was added. `dropped`: served although the route was removed. `older`: answered with 404
+ * although the entry had served the route before.
+ */
 export type RouteFault = 'missing' | 'dropped' | 'older'
 
 export interface LateChange {
   probe: RouteProbe
   fault: RouteFault
-  /** From the acknowledgement, or where it came back older from when it had been served, to when the request was sent. */
+  /** Time until the probe was sent, from the store's acknowledgement, or for `older` from the entry's first response that served the route. */
   afterMs: number
 }
 
@@ -48,8 +52,8 @@
   readonly #agents: Agent[]
   readonly probes: RouteProbe[] = []
 
-  /** `name`: tells the routes and requests of one operator from those of others. */
-  constructor (private readonly fleet: FleetSystem, private readonly name: string, private readonly askEveryMs = defaultAskEveryMs) {
+  /** `name` distinguishes the routes and requests of one operator from those of others. */
+  constructor (private readonly fleet: FleetSystem, private readonly name: string, private readonly probeIntervalMs = defaultProbeIntervalMs) {
     this.#agents = fleet.entries.map(() => new Agent({ keepAlive: true, maxSockets: 40 }))
   }
 
@@ -60,7 +64,7 @@
     route.addedAt = this.#apply()
   }
 
-  /** Drops the oldest route that is there. */
+  /** Removes the oldest existing route. */
   drop (): void {
     const oldest = this.#routes.find(route => route.droppedAt === Infinity)
     if (oldest === undefined) return
@@ -68,50 +72,53 @@
     oldest.droppedAt = this.#apply()
   }
 
-  /** Has every entry asked until `signal` aborts; resolves once all is answered. */
+  /** Sends probes to every entry until `signal` aborts; resolves once all have been answered. */
   async ask (signal: AbortSignal): Promise<void> {
-    const asked: Array<Promise<void>> = []
+    const probes: Array<Promise<void>> = []
     while (!signal.aborted) {
-      for (const entry of this.fleet.entries.keys()) for (const route of this.#lastChanged()) asked.push(this.#probe(route, entry))
-      await pause(this.askEveryMs)
+      for (const entry of this.fleet.entries.keys()) for (const route of this.#routesToProbe()) probes.push(this.#probe(route, entry))
+      await pause(this.probeIntervalMs)
     }
-    await Promise.all(asked)
+    await Promise.all(probes)
   }
 
-  /** Requests sent more than `applyMs` after a change and handled as before it; and those handled as before `slackMs` after its effect was seen. */
+  /**
+   * Returns the probes that were sent more than `applyMs` after a change was acknowledged and handled as before it, and those that an entry
+   * answered with 404 more than `slackMs` after it had first served the route.
+   */
   late (applyMs: number, slackMs: number): LateChange[] {
     return this.probes.flatMap(probe => this.#lateness(probe, applyMs, slackMs) ?? [])
   }
 
-  /** Requests for a route that was added more than `applyMs` before, and that were refused as not run. */
+  /** Returns the probes with status 503, not run, for an existing route that was added more than `applyMs` before they were sent. */
   refused (applyMs: number): RouteProbe[] {
-    return this.probes.filter(({ route, status, sentAt, endedAt }) => status === notRun && sentAt - route.addedAt > applyMs && endedAt < route.droppedAt)
+    return this.probes.filter(({ route, status, sentAt, endedAt }) => status === notRunStatus && sentAt - route.addedAt > applyMs && endedAt < route.droppedAt)
   }
 
   close (): void {
     for (const agent of this.#agents) agent.destroy()
   }
 
-  #lastChanged (): ChangingRoute[] {
-    const there = this.#routes.filter(route => route.droppedAt === Infinity)
-    const dropped = this.#routes.filter(route => Number.isFinite(route.droppedAt))
-    return [...there.slice(-lastAsked), ...dropped.slice(-lastAsked)]
+  #routesToProbe (): ChangingRoute[] {
+    const existing = this.#routes.filter(route => route.droppedAt === Infinity)
+    const removed = this.#routes.filter(route => Number.isFinite(route.droppedAt))
+    return [...existing.slice(-probedRoutes), ...removed.slice(-probedRoutes)]
   }
 
   #lateness (probe: RouteProbe, applyMs: number, slackMs: number): LateChange | undefined {
     const { route, status, sentAt, endedAt } = probe
-    if (status === served) return lateBy(probe, 'dropped', sentAt - route.droppedAt, applyMs)
-    if (status !== noRoute || endedAt > route.droppedAt) return undefined
-    return lateBy(probe, 'missing', sentAt - route.addedAt, applyMs) ?? lateBy(probe, 'older', sentAt - this.#servedAt(probe), slackMs)
+    if (status === servedStatus) return lateChange(probe, 'dropped', sentAt - route.droppedAt, applyMs)
+    if (status !== noRouteStatus || endedAt > route.droppedAt) return undefined
+    return lateChange(probe, 'missing', sentAt - route.addedAt, applyMs) ?? lateChange(probe, 'older', sentAt - this.#servedAt(probe), slackMs)
   }
 
-  /** When the entry was first seen to serve the route. */
+  /** When the entry's first response that served the route was received; `Infinity` if there is none. */
   #servedAt ({ route, entry }: RouteProbe): number {
-    const times = this.probes.filter(each => each.route === route && each.entry === entry && each.status === served)
+    const times = this.probes.filter(each => each.route === route && each.entry === entry && each.status === servedStatus)
     return Math.min(...times.map(({ endedAt }) => endedAt))
   }
 
-  /** Writes the table with the routes that are there; gives when that was acknowledged. */
+  /** Writes the routing table with the existing routes to the store. Returns the time of the acknowledgement. */
   #apply (): number {
     const { fleet } = this
     const plain = { host: 'fleet.example', kind: 'idempotent', timeoutMs: 1000, targetLatencyMs: 150, priority: 2, maxAttempts: 2, service: plainService, sticky: false, resumable: false }
@@ -128,11 +135,11 @@
       const { status } = await askFleet(this.fleet, { path: `${route.path}x`, id, entry, agent: this.#agents[entry] as Agent, remainingMs })
       probe.status = status
     } catch {
-      // No answer began; nothing is said of routes.
+      // No response began, so the probe says nothing about routes.
     }
     probe.endedAt = performance.now()
   }
 }
 
-const lateBy = (probe: RouteProbe, fault: RouteFault, afterMs: number, boundMs: number): LateChange | undefined =>
+const lateChange = (probe: RouteProbe, fault: RouteFault, afterMs: number, boundMs: number): LateChange | undefined =>
   afterMs > boundMs ? { probe, fault, afterMs } : undefined
--- a/packages/stand-ins/src/http-stand-in.ts
+++ b/packages/stand-ins/src/http-stand-in.ts
@@ -1,15 +1,15 @@
 /**
- * What the stand-ins' HTTP servers share.
+ * Base class and helpers for the HTTP servers of the stand-ins.
  */
 import { once } from 'node:events'
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
-/** A stand-in's server on a port that the system chooses. */
+/** An HTTP server whose subclass handles the requests. A handler that rejects destroys the response. */
 export abstract class HttpStandIn {
   #server: Server | undefined
 
-  /** Gives the server's origin. Without a port the system chooses one. */
+  /** Starts listening and returns the server's origin. If `port` is 0, the operating system picks a free port. */
   async start (host = '127.0.0.1', port = 0): Promise<string> {
     const server = createServer((request, response) => {
       this.handle(request, response).catch(() => response.destroy())
@@ -32,9 +32,9 @@
 }
 
 export const readBytes = async (request: IncomingMessage): Promise<Buffer> => {
-  const pieces: Buffer[] = []
-  for await (const piece of request) pieces.push(piece as Buffer)
-  return Buffer.concat(pieces)
+  const chunks: Buffer[] = []
+  for await (const chunk of request) chunks.push(chunk as Buffer)
+  return Buffer.concat(chunks)
 }
 
 export const readJson = async (request: IncomingMessage): Promise<unknown> => {
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for everything around the system, for tests, the demo, the fault matrix and the measurements. */
+/** Stand-ins for the system's dependencies and callers, for tests, the demo, the fault matrix and the benchmarks. */
 export * from './memory-store.js'
 export * from './platform-server.js'
 export * from './weights.js'
--- a/packages/stand-ins/src/memory-engine.ts
+++ b/packages/stand-ins/src/memory-engine.ts
@@ -1,8 +1,8 @@
 /**
- * A stand-in for a model engine, in memory: adapter slots, continuous batching, streams of tokens.
+ * An in-memory stand-in for a model engine with adapter slots, continuous batching and token streams.
  *
- * A token takes longer the more sequences and the more distinct adapters there are in the batch. It records what it
- * ran and every order that would have broken a promise; observers read those records.
+ * Time per token grows with the number of running sequences and of loaded adapters. The engine records the requests that it ran and,
+ * as violations, orders to unload an adapter that requests still used; tests read both.
  */
 import { createHash } from 'node:crypto'
 import { EventEmitter, on } from 'node:events'
@@ -26,21 +26,21 @@
   prompt: string
 }
 
-interface Active {
+interface ActiveRequest {
   id: string
   controller: AbortController
   ended: Promise<void>
   end: () => void
 }
 
-/** What a run without its adapter is recorded as. */
+/** The label recorded for a request that ran on the base model because its adapter was not loaded. */
 export const baseLabel = 'base'
 
 const defaultTokens = 8
-const perSequence = 0.01
-const perAdapter = 0.05
+const slowdownPerSequence = 0.01
+const slowdownPerAdapter = 0.05
 
-interface Prompt {
+interface PromptBody {
   stream?: boolean
   max_tokens?: number
   prompt?: string
@@ -50,23 +50,23 @@
 export class MemoryEngine implements Engine {
   readonly runs: EngineRun[] = []
   readonly violations: string[] = []
-  /** Emits `run` as a request begins and `end` as it ends, with the request's id. */
+  /** Emits `run` when a request starts and `end` when it ends, both with the request's id, and `cache` with each cache event. */
   readonly events = new EventEmitter()
-  /** So many next requests run, and their answers are lost. */
+  /** Number of next requests that run, but whose responses are lost. */
   loseAnswers = 0
-  /** Before the answer's head. */
+  /** Delay before the response head. */
   delayMs = 0
-  /** The time to a token in a batch of one. */
+  /** Base time per token, before the slowdown for running sequences and loaded adapters. */
   tokenMs: number
-  /** Runs the base model in place of an adapter that it does not hold, as some engines do. */
+  /** Runs the base model instead of an adapter that is not loaded, as some engines do. */
   fallsBack = false
-  /** Orders and requests find nobody. */
+  /** Orders, requests and reports fail as if the engine could not be reached. */
   down = false
   #boot = randomToken()
   #cacheSequence = 0
   #fence = 0
   readonly #loaded = new Map<string, number>()
-  readonly #active = new Map<string, Active>()
+  readonly #active = new Map<string, ActiveRequest>()
   #running = 0
 
   constructor (private readonly options: MemoryEngineOptions) {
@@ -85,7 +85,7 @@
     return [...this.#loaded.keys()]
   }
 
-  /** Comes back empty; every stream in progress is cut. */
+  /** Restarts without loaded adapters and with a new boot id; every stream in progress is cut off. */
   restart (): void {
     this.#boot = randomToken()
     this.#cacheSequence = 0
@@ -99,28 +99,28 @@
   }
 
   async load ({ label, fence, source }: EngineOrder & { source: string }): Promise<Result<string, BackendFault>> {
-    const refusal = this.#refuse(fence)
+    const refusal = this.#rejection(fence)
     if (refusal !== undefined) return err(refusal)
     const boot = this.#boot
     if (!this.#loaded.has(label) && this.#loaded.size >= this.options.slots) return err(backendFault('refused', 'no free slot', boot))
-    if (!await this.options.weights.fetch(source)) return err(backendFault('refused', `weights ${source} can't be read`, boot))
+    if (!await this.options.weights.fetch(source)) return err(backendFault('refused', `weights ${source} can't be loaded`, boot))
     if (boot !== this.#boot) return err(backendFault('lost', 'the engine restarted', this.#boot))
     this.#loaded.set(label, this.#loaded.get(label) ?? 0)
     return ok(boot)
   }
 
   async unload ({ label, fence }: EngineOrder): Promise<Result<void, BackendFault>> {
-    const refusal = this.#refuse(fence)
+    const refusal = this.#rejection(fence)
     if (refusal !== undefined) return err(refusal)
-    const using = this.#loaded.get(label)
-    if (using === undefined) return err(backendFault('not_loaded', label, this.#boot))
-    if (using > 0) this.violations.push(`${label} was ordered out while ${using} requests used it`)
+    const useCount = this.#loaded.get(label)
+    if (useCount === undefined) return err(backendFault('not_loaded', label, this.#boot))
+    if (useCount > 0) this.violations.push(`${label} was unloaded while ${useCount} requests used it`)
     this.#loaded.delete(label)
     return ok(undefined)
   }
 
   async cancel ({ id, fence }: { id: string, fence: number }): Promise<Result<void, BackendFault>> {
-    const refusal = this.#refuse(fence)
+    const refusal = this.#rejection(fence)
     if (refusal !== undefined) return err(refusal)
     const active = this.#active.get(id)
     active?.controller.abort()
@@ -128,7 +128,7 @@
     return ok(undefined)
   }
 
-  /** Events from now on: what was published before is a gap to this reader. */
+  /** Yields events from now on. Events published earlier are not replayed, so a new subscriber starts with a gap. */
   async * cacheEvents (signal: AbortSignal): AsyncGenerator<CacheEvent> {
     try {
       for await (const [event] of on(this.events, 'cache', { signal })) yield event as CacheEvent
@@ -138,31 +138,31 @@
   }
 
   async generate (generation: Generation): Promise<Result<GeneratedAnswer, BackendFault>> {
-    const refusal = this.#refuse(generation.fence)
+    const refusal = this.#rejection(generation.fence)
     if (refusal !== undefined) return err(refusal)
     const { id, label, call, signal } = generation
     const boot = this.#boot
-    const using = this.#loaded.get(label) ?? 0
+    const useCount = this.#loaded.get(label) ?? 0
     if (!this.#loaded.has(label) && !this.fallsBack) return err(backendFault('not_loaded', label, boot))
-    const ranOn = this.#loaded.has(label) ? label : baseLabel
-    const body = JSON.parse(Buffer.from(call.body).toString()) as Prompt
-    this.runs.push({ id, label: ranOn, boot, prompt: promptOf(body) })
+    const executedLabel = this.#loaded.has(label) ? label : baseLabel
+    const body = JSON.parse(Buffer.from(call.body).toString()) as PromptBody
+    this.runs.push({ id, label: executedLabel, boot, prompt: promptOf(body) })
     this.events.emit('run', id)
     const block = createHash('sha256').update(promptOf(body)).digest('base64url')
     this.events.emit('cache', { type: 'stored', boot, sequence: this.#cacheSequence++, salt: generation.salt, blocks: [block] })
-    if (ranOn === label) this.#loaded.set(label, using + 1)
+    if (executedLabel === label) this.#loaded.set(label, useCount + 1)
     this.#running += 1
-    const tokens = this.#tokens(ranOn, boot, body.max_tokens ?? defaultTokens, this.#activate(id, ranOn, boot, signal))
+    const tokens = this.#tokens(executedLabel, boot, body.max_tokens ?? defaultTokens, this.#startRequest(id, executedLabel, boot, signal))
     if (this.delayMs > 0) await pause(this.delayMs)
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1
       void this.#discard(tokens)
-      return err(backendFault('lost', 'the answer was lost'))
+      return err(backendFault('lost', 'the response was lost'))
     }
-    return body.stream === true ? ok(this.#streamed(tokens, boot)) : ok(this.#whole(tokens, boot, ranOn))
+    return body.stream === true ? ok(this.#eventStream(tokens, boot)) : ok(this.#jsonResponse(tokens, boot, executedLabel))
   }
 
-  #refuse (fence: number): BackendFault | undefined {
+  #rejection (fence: number): BackendFault | undefined {
     if (this.down) return this.#unreachable()
     if (this.options.checksFences && fence < this.#fence) return backendFault('fenced', `fence ${this.#fence} is held`, this.#boot)
     this.#fence = Math.max(this.#fence, fence)
@@ -173,8 +173,8 @@
     return backendFault('unreachable', 'the engine is down')
   }
 
-  /** The request's place in the batch, given up at its end or as soon as it is cancelled. */
-  #activate (id: string, label: string, boot: string, signal: AbortSignal): Active {
+  /** Registers the request in the batch; it is removed when it ends or is cancelled. */
+  #startRequest (id: string, label: string, boot: string, signal: AbortSignal): ActiveRequest {
     const controller = new AbortController()
     let resolveEnded = (): void => {}
     const ended = new Promise<void>(resolve => { resolveEnded = resolve })
@@ -182,8 +182,8 @@
       if (this.#active.get(id) !== active) return
       this.#active.delete(id)
       this.#running -= 1
-      const using = this.#loaded.get(label)
-      if (using !== undefined && boot === this.#boot) this.#loaded.set(label, using - 1)
+      const useCount = this.#loaded.get(label)
+      if (useCount !== undefined && boot === this.#boot) this.#loaded.set(label, useCount - 1)
       resolveEnded()
       this.events.emit('end', id)
     }
@@ -194,11 +194,11 @@
     return active
   }
 
-  async * #tokens (label: string, boot: string, count: number, active: Active): AsyncGenerator<string> {
+  async * #tokens (label: string, boot: string, count: number, active: ActiveRequest): AsyncGenerator<string> {
     const { signal } = active.controller
     try {
       for (let token = 0; token < count; token++) {
-        const slowdown = 1 + perSequence * this.#running + perAdapter * this.#loaded.size
+        const slowdown = 1 + slowdownPerSequence * this.#running + slowdownPerAdapter * this.#loaded.size
         await pause(this.tokenMs * slowdown, signal)
         if (boot !== this.#boot) throw new AnswerFailure(unknown('answer_cut', { detail: 'the engine restarted' }))
         if (signal.aborted) return
@@ -211,13 +211,13 @@
 
   async #discard (tokens: AsyncGenerator<string>): Promise<void> {
     try {
-      while ((await tokens.next()).done !== true) { /* runs to its end unheard */ }
+      while ((await tokens.next()).done !== true) { /* the request runs to completion, its output is discarded */ }
     } catch (error) {
       if (!(error instanceof AnswerFailure)) throw error
     }
   }
 
-  #streamed (tokens: AsyncGenerator<string>, boot: string): GeneratedAnswer {
+  #eventStream (tokens: AsyncGenerator<string>, boot: string): GeneratedAnswer {
     const events = async function * (): AsyncGenerator<Uint8Array> {
       let id = 0
       for await (const text of tokens) yield Buffer.from(`id: ${id++}\ndata: ${JSON.stringify({ choices: [{ text }] })}\n\n`)
@@ -226,7 +226,7 @@
     return { status: 200, headers: { 'content-type': 'text/event-stream' }, boot, body: events() }
   }
 
-  #whole (tokens: AsyncGenerator<string>, boot: string, label: string): GeneratedAnswer {
+  #jsonResponse (tokens: AsyncGenerator<string>, boot: string, label: string): GeneratedAnswer {
     const body = async function * (): AsyncGenerator<Uint8Array> {
       let text = ''
       for await (const token of tokens) text += token
@@ -236,4 +236,4 @@
   }
 }
 
-const promptOf = ({ prompt, messages }: Prompt): string => prompt ?? messages?.at(-1)?.content ?? ''
+const promptOf = ({ prompt, messages }: PromptBody): string => prompt ?? messages?.at(-1)?.content ?? ''
--- a/packages/stand-ins/src/memory-service.ts
+++ b/packages/stand-ins/src/memory-service.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for a plain service that keeps bookings: it counts how often each was made, and never asks whether
- * it was meant to.
+ * An in-memory stand-in for a plain service that takes bookings. It records every change that it runs and detects no duplicates, so
+ * that a test sees requests that ran more than once.
  */
 import { EventEmitter } from 'node:events'
 import { pause, type Answer } from '@finchpitch/core'
@@ -8,16 +8,16 @@
 import { err, ok, type Result } from 'neverthrow'
 
 export class MemoryService implements PlainService {
-  /** Each change as it was run, by the body's text. */
+  /** The body of each change, in the order in which they ran. */
   readonly changes: string[] = []
   running = 0
   down = false
   delayMs = 0
-  /** While set, calls have run and wait for this before they answer. */
+  /** While set, calls run and then wait for this promise before they respond. */
   held: Promise<void> | undefined
   /** Emits `change` after each change. */
   readonly events = new EventEmitter()
-  /** So many next calls run, and their answers are lost. */
+  /** Number of next calls that run, but whose responses are lost. */
   loseAnswers = 0
 
   async call ({ call }: ServiceCall): Promise<Result<Answer, BackendFault>> {
@@ -33,14 +33,14 @@
     this.running -= 1
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1
-      return err(backendFault('lost', 'the answer was lost'))
+      return err(backendFault('lost', 'the response was lost'))
     }
     const body = JSON.stringify({ path: call.path, booked: text, changes: this.changes.length })
-    return ok({ status: 200, headers: { 'content-type': 'application/json' }, body: chunked(body) })
+    return ok({ status: 200, headers: { 'content-type': 'application/json' }, body: inTwoChunks(body) })
   }
 }
 
-async function * chunked (text: string): AsyncGenerator<Uint8Array> {
+async function * inTwoChunks (text: string): AsyncGenerator<Uint8Array> {
   const half = Math.ceil(text.length / 2)
   yield Buffer.from(text.slice(0, half))
   yield Buffer.from(text.slice(half))
--- a/packages/stand-ins/src/memory-store.ts
+++ b/packages/stand-ins/src/memory-store.ts
@@ -1,27 +1,28 @@
 /**
- * A stand-in for the platform's object API, in memory, with the faults that the brief names.
+ * An in-memory stand-in for the platform's object API. It can be unavailable or slow, lose the responses to writes, truncate its watch
+ * history, and close, silence or duplicate its watches.
  *
- * It counts every call and keeps every accepted write of each object, so an observer can see reverts and double
- * writes without asking the system.
+ * It counts all calls and records all accepted writes, so that a test can detect reverted and duplicate writes without asking the
+ * system under test.
  */
 import { pause } from '@finchpitch/core'
 import { storeFault, type ObjectStore, type ResourceVersion, type StoreFault, type StoredObject, type WatchEvent } from '@finchpitch/store'
 import { err, ok, type Result } from 'neverthrow'
 
-const keptEvents = 100
+const maxRetainedEvents = 100
 
 type Listener = (event: WatchEvent) => void
 
 export class MemoryStore implements ObjectStore {
-  /** Every call fails and nothing happens. */
+  /** Every call fails without effect. */
   down = false
-  /** Added to every call. */
+  /** Delay added to every call except watches. */
   delayMs = 0
-  /** So many next writes take effect and their answers are lost. */
+  /** Number of next calls of `put` that take effect, but whose responses are lost. */
   loseAnswers = 0
-  /** Watches give no events, and don't end. */
+  /** Watches stay open but receive no events. */
   deafWatches = false
-  /** Each event is sent twice. */
+  /** Each event is delivered twice. */
   repeatEvents = false
   calls = { reads: 0, writes: 0, watches: 0 }
   readonly writes: StoredObject[] = []
@@ -32,34 +33,34 @@
 
   async get (name: string): Promise<Result<StoredObject | undefined, StoreFault>> {
     this.calls.reads += 1
-    const fault = await this.#pass()
+    const fault = await this.#delayOrFail()
     return fault === undefined ? ok(structuredClone(this.#objects.get(name))) : err(fault)
   }
 
   async list (prefix: string): Promise<Result<string[], StoreFault>> {
     this.calls.reads += 1
-    const fault = await this.#pass()
+    const fault = await this.#delayOrFail()
     return fault === undefined ? ok([...this.#objects.keys()].filter(name => name.startsWith(prefix)).sort()) : err(fault)
   }
 
   async put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreFault>> {
     this.calls.writes += 1
-    const fault = await this.#pass()
+    const fault = await this.#delayOrFail()
     if (fault !== undefined) return err(fault)
-    const present = this.#objects.get(name)
-    if ((present?.version ?? 'absent') !== version) return err(storeFault('conflict'))
+    const current = this.#objects.get(name)
+    if ((current?.version ?? 'absent') !== version) return err(storeFault('conflict'))
     const object = this.#write(name, value)
-    if (!this.#losesAnswer()) return ok(structuredClone(object))
-    return err(storeFault('ambiguous', 'the answer was lost'))
+    if (!this.#losesResponse()) return ok(structuredClone(object))
+    return err(storeFault('ambiguous', 'the response to the write was lost'))
   }
 
   async remove (name: string, version: ResourceVersion): Promise<Result<void, StoreFault>> {
     this.calls.writes += 1
-    const fault = await this.#pass()
+    const fault = await this.#delayOrFail()
     if (fault !== undefined) return err(fault)
-    const present = this.#objects.get(name)
-    if (present === undefined) return ok(undefined)
-    if (present.version !== version) return err(storeFault('conflict'))
+    const current = this.#objects.get(name)
+    if (current === undefined) return ok(undefined)
+    if (current.version !== version) return err(storeFault('conflict'))
     this.#objects.delete(name)
     this.#emit({ type: 'deleted', name, version: String(++this.#version) })
     return ok(undefined)
@@ -69,13 +70,13 @@
     this.calls.watches += 1
     if (this.down) return yield { type: 'ended', fault: storeFault('unavailable') }
     const oldest = this.#events[0]
-    if (oldest !== undefined && Number(version) + 1 < versionOf(oldest) && this.#events.length >= keptEvents) {
+    if (oldest !== undefined && Number(version) + 1 < versionOf(oldest) && this.#events.length >= maxRetainedEvents) {
       return yield { type: 'ended', fault: storeFault('too_old') }
     }
-    const ready = this.#events.filter(event => nameOf(event) === name && versionOf(event) > Number(version))
+    const pending = this.#events.filter(event => nameOf(event) === name && versionOf(event) > Number(version))
     let wake = (): void => {}
     const listener: Listener = event => {
-      ready.push(event)
+      pending.push(event)
       wake()
     }
     const listeners = this.#listeners.get(name) ?? new Set()
@@ -84,7 +85,7 @@
     signal.addEventListener('abort', stop)
     try {
       while (!signal.aborted) {
-        const event = ready.shift()
+        const event = pending.shift()
         if (event !== undefined) yield event
         else await new Promise<void>(resolve => { wake = resolve })
       }
@@ -95,19 +96,19 @@
     }
   }
 
-  /** Ends every watch, as a restart of the API does. */
+  /** Ends every watch, as a restart of the object API does. */
   cutWatches (): void {
     for (const listeners of this.#listeners.values()) {
-      for (const listener of listeners) listener({ type: 'ended', fault: storeFault('unavailable', 'cut') })
+      for (const listener of listeners) listener({ type: 'ended', fault: storeFault('unavailable', 'the object API restarted') })
     }
   }
 
-  async #pass (): Promise<StoreFault | undefined> {
+  async #delayOrFail (): Promise<StoreFault | undefined> {
     if (this.delayMs > 0) await pause(this.delayMs)
     return this.down ? storeFault('unavailable', 'the store is down') : undefined
   }
 
-  #losesAnswer (): boolean {
+  #losesResponse (): boolean {
     if (this.loseAnswers === 0) return false
     this.loseAnswers -= 1
     return true
@@ -123,7 +124,7 @@
 
   #emit (event: WatchEvent): void {
     this.#events.push(event)
-    if (this.#events.length > keptEvents) this.#events.shift()
+    if (this.#events.length > maxRetainedEvents) this.#events.shift()
     if (this.deafWatches) return
     for (const listener of this.#listeners.get(nameOf(event)) ?? []) {
       listener(event)
--- a/packages/stand-ins/src/platform-server.ts
+++ b/packages/stand-ins/src/platform-server.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's stand-in over HTTP: the object API with watches, and the instance list.
+ * HTTP server for the platform's object API with watches, backed by a `MemoryStore`, and for the instance list.
  */
 import { createHash } from 'node:crypto'
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -8,21 +8,21 @@
 import { MemoryStore } from './memory-store.js'
 import { HttpStandIn, readJson, sendJson } from './http-stand-in.js'
 
-const objects = '/apis/finchpitch/v1/objects'
+const objectsPath = '/apis/finchpitch/v1/objects'
 
 const toItem = ({ name, version, value }: StoredObject): unknown => ({ metadata: { name, resourceVersion: version }, spec: value })
 
-const statuses = { unavailable: 503, ambiguous: 504, conflict: 409, too_old: 410, refused: 400 } as const
+const faultStatuses = { unavailable: 503, ambiguous: 504, conflict: 409, too_old: 410, refused: 400 } as const
 
 const toLine = (event: WatchEvent): unknown => {
   if (event.type === 'changed') return { type: 'MODIFIED', object: toItem(event.object) }
   if (event.type === 'deleted') return { type: 'DELETED', object: toItem({ name: event.name, version: event.version, value: null }) }
-  return { type: 'ERROR', object: { code: statuses[event.fault.code] } }
+  return { type: 'ERROR', object: { code: faultStatuses[event.fault.code] } }
 }
 
-const reply = (response: ServerResponse, result: Result<StoredObject | undefined | void, { code: keyof typeof statuses }>): void => {
+const sendResult = (response: ServerResponse, result: Result<StoredObject | undefined | void, { code: keyof typeof faultStatuses }>): void => {
   if (result.isErr() && result.error.code === 'ambiguous') response.destroy()
-  else if (result.isErr()) sendJson(response, statuses[result.error.code], {})
+  else if (result.isErr()) sendJson(response, faultStatuses[result.error.code], {})
   else if (result.value === undefined) sendJson(response, 404, {})
   else sendJson(response, 200, toItem(result.value))
 }
@@ -30,24 +30,24 @@
 export class PlatformServer extends HttpStandIn {
   readonly store = new MemoryStore()
   instances: Instance[] = []
-  /** How often the instance list was read. */
+  /** Number of requests for the instance list. */
   lists = 0
-  /** The instance list doesn't answer. */
+  /** Requests for the instance list get status 503. */
   listDown = false
 
   protected override async handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://platform')
-    if (url.pathname === '/instances') return this.#list(request, response)
-    const name = decodeURIComponent(url.pathname.slice(objects.length + 1))
+    if (url.pathname === '/instances') return this.#listInstances(request, response)
+    const name = decodeURIComponent(url.pathname.slice(objectsPath.length + 1))
     if (request.method === 'PUT') return await this.#put(name, request, response)
-    if (request.method === 'DELETE') return reply(response, await this.store.remove(name, url.searchParams.get('resourceVersion') ?? ''))
+    if (request.method === 'DELETE') return sendResult(response, await this.store.remove(name, url.searchParams.get('resourceVersion') ?? ''))
     if (url.searchParams.has('watch')) return await this.#watch(name, url.searchParams.get('resourceVersion') ?? '0', response)
-    if (name !== '') return reply(response, await this.store.get(name))
+    if (name !== '') return sendResult(response, await this.store.get(name))
     const names = await this.store.list(url.searchParams.get('prefix') ?? '')
     sendJson(response, names.isOk() ? 200 : 503, { items: names.unwrapOr([]) })
   }
 
-  #list (request: IncomingMessage, response: ServerResponse): void {
+  #listInstances (request: IncomingMessage, response: ServerResponse): void {
     this.lists += 1
     if (this.listDown) return sendJson(response, 503, {})
     const body = { items: this.instances }
@@ -58,15 +58,15 @@
 
   async #put (name: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readJson(request) as { metadata: { resourceVersion?: string }, spec: unknown }
-    reply(response, await this.store.put(name, body.spec, body.metadata.resourceVersion ?? 'absent'))
+    sendResult(response, await this.store.put(name, body.spec, body.metadata.resourceVersion ?? 'absent'))
   }
 
   async #watch (name: string, version: string, response: ServerResponse): Promise<void> {
-    const hangUp = new AbortController()
-    response.once('close', () => hangUp.abort())
+    const disconnected = new AbortController()
+    response.once('close', () => disconnected.abort())
     response.writeHead(200, { 'content-type': 'application/json' })
     response.flushHeaders()
-    for await (const event of this.store.watch(name, version, hangUp.signal)) {
+    for await (const event of this.store.watch(name, version, disconnected.signal)) {
       response.write(`${JSON.stringify(toLine(event))}\n`)
       if (event.type === 'ended') break
     }
--- a/packages/stand-ins/src/processes.ts
+++ b/packages/stand-ins/src/processes.ts
@@ -1,5 +1,5 @@
 /**
- * Real processes of the system, for the demo, the process tests and the measurements.
+ * Starts real entry and side processes, for the demo, the process tests and the benchmarks.
  */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { once } from 'node:events'
@@ -24,7 +24,7 @@
   private constructor (readonly options: DaemonOptions, readonly child: ChildProcess, readonly listening: Record<string, string>) {
   }
 
-  /** Resolves once the process listens. */
+  /** Starts a process and resolves once it listens; rejects if it exits before, with what it wrote to stderr. */
   static async start (options: DaemonOptions): Promise<Daemon> {
     const flags = {
       process: options.process,
@@ -39,20 +39,20 @@
     }
     const args = Object.entries(flags).flatMap(([name, value]) => [`--${name}`, String(value)])
     const child = spawn(process.execPath, [binary, options.role, ...args], { stdio: ['ignore', 'pipe', 'pipe'] })
-    const early: string[] = []
-    const keep = (text: Buffer): number => early.push(text.toString())
-    child.stderr.on('data', keep)
-    const exited = once(child, 'exit').then(([code]) => { throw new Error(`${options.process} ended with ${String(code)}: ${early.join('')}`) })
+    const startupErrors: string[] = []
+    const collect = (text: Buffer): number => startupErrors.push(text.toString())
+    child.stderr.on('data', collect)
+    const exited = once(child, 'exit').then(([code]) => { throw new Error(`${options.process} ended with ${String(code)}: ${startupErrors.join('')}`) })
     const lines = createInterface({ input: child.stdout })
     const listening = new Promise<Record<string, string>>(resolve => {
       lines.on('line', line => {
-        const said = JSON.parse(line) as Record<string, string>
-        if (said.event === 'listening') resolve(said)
+        const message = JSON.parse(line) as Record<string, string>
+        if (message.event === 'listening') resolve(message)
       })
     })
     const addresses = await Promise.race([listening, exited])
     exited.catch(() => {})
-    child.stderr.off('data', keep)
+    child.stderr.off('data', collect)
     return new Daemon(options, child, addresses)
   }
 
@@ -60,7 +60,7 @@
     return `http://${this.listening[listener] ?? ''}`
   }
 
-  /** Its row in the instance list. */
+  /** Returns the process's entry in the platform's instance list. */
   instance (serving?: Serving): Instance {
     const { role, process, domain } = this.options
     return {
@@ -77,13 +77,13 @@
     this.child.kill(signal)
   }
 
-  /** Sends a signal and waits for the end; gives the exit code, or the signal that ended it. */
+  /** Sends a signal and waits for the process to exit. Returns its exit code, or the signal that terminated it. */
   async stop (signal: NodeJS.Signals = 'SIGTERM'): Promise<number | string | null> {
     const ended = this.child.exitCode ?? this.child.signalCode
     if (ended !== null) return ended
     const exited = once(this.child, 'exit') as Promise<[number | null, string | null]>
     this.child.kill(signal)
-    const [code, byOwnSignal] = await exited
-    return code ?? byOwnSignal
+    const [code, exitSignal] = await exited
+    return code ?? exitSignal
   }
 }
--- a/packages/stand-ins/src/service-server.ts
+++ b/packages/stand-ins/src/service-server.ts
@@ -1,5 +1,5 @@
 /**
- * The plain service's stand-in over HTTP.
+ * HTTP server for a `MemoryService`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { HttpStandIn, readBytes } from './http-stand-in.js'
@@ -19,7 +19,7 @@
       return
     }
     response.writeHead(answer.value.status, answer.value.headers)
-    for await (const piece of answer.value.body) response.write(piece)
+    for await (const chunk of answer.value.body) response.write(chunk)
     response.end()
   }
 }
--- a/packages/stand-ins/src/small-system.ts
+++ b/packages/stand-ins/src/small-system.ts
@@ -1,5 +1,6 @@
 /**
- * A small system of real processes with everything around it, for the process tests and the README's examples.
+ * A small system of real entry and side processes with stand-ins for its dependencies, for the process tests, the demo and the
+ * README's examples.
  */
 import { ModelName, Revision, ServiceName, type Serving } from '@finchpitch/core'
 import { OperatorClient } from '@finchpitch/operators'
@@ -15,7 +16,7 @@
 
 export const callerTokens = { fjordtavle: 'fjord-token', quetzal: 'quetzal-token' }
 
-/** Two teams, one base model, three adapters, one plain service that only one of the teams may use. */
+/** Two teams with one adapter each, one base model, and one plain service that only one of the teams may use. */
 export const smallConfiguration = {
   teams: [
     { name: 'fjordtavle', tokens: [hashOfToken(callerTokens.fjordtavle)] },
@@ -51,7 +52,7 @@
 
   private constructor () {}
 
-  /** Starts everything and applies the small configuration. */
+  /** Starts the stand-ins and the processes, and applies the configuration. */
   static async start ({ entries = 1, engines = 1, entryFlags = {} }: SmallSystemOptions = {}): Promise<SmallSystem> {
     const system = new SmallSystem()
     const { weights } = system
@@ -68,7 +69,7 @@
     }
     starting.push(system.#add({ role: 'side', process: 'ledger-0', domain: 'oslo-0', platform, flags: { backend: ledger, service: 'booking-ledger' } }, service))
     await Promise.all(starting)
-    // An entry reads the instance list as it starts, so what it should see first is listed by then.
+    // Entries read the instance list when they start, so the side processes must have been added to it before.
     await Promise.all(Array.from({ length: entries }, (_, index) =>
       system.#add({ role: 'entry', process: `entry-${index}`, domain: `oslo-${index}`, platform, flags: entryFlags })))
     await system.apply(smallConfiguration, 0)
@@ -77,7 +78,7 @@
 
   daemon (name: string): Daemon {
     const daemon = this.daemons.get(name)
-    if (daemon === undefined) throw new Error(`there is no process ${name}`)
+    if (daemon === undefined) throw new Error(`no process named ${name}`)
     return daemon
   }
 
@@ -91,7 +92,7 @@
     return reply.revision
   }
 
-  /** One request of a team through an entry. */
+  /** Sends a request of a team to an entry. */
   async ask (team: keyof typeof callerTokens, path: string, body: unknown, { entry = 'entry-0', headers = {}, signal }: AskOptions = {}): Promise<Dispatcher.ResponseData> {
     return await request(`${this.daemon(entry).url('callers')}${path}`, {
       method: 'POST',
@@ -101,7 +102,7 @@
     })
   }
 
-  /** Stops every process by its signal; gives the exit codes by name. */
+  /** Sends the signal to every process and waits for them to exit. Returns exit codes, or terminating signals, by process name. */
   async stop (signal: NodeJS.Signals = 'SIGKILL'): Promise<Map<string, number | string | null>> {
     const codes = new Map<string, number | string | null>()
     await Promise.all([...this.daemons].map(async ([name, daemon]) => codes.set(name, await daemon.stop(signal))))
--- a/packages/stand-ins/src/weights.ts
+++ b/packages/stand-ins/src/weights.ts
@@ -1,7 +1,8 @@
 /**
- * A stand-in for the weight store: a rate of loads a second, and few places at full speed.
+ * An in-memory stand-in for the weight store. It limits the rate at which loads start, and slows loads down under concurrency.
  *
- * A load past the full-speed places takes as much longer as there are loads to a place.
+ * A limited number of concurrent loads run at full speed and take `loadMs` each. Beyond that number, a load takes longer by the ratio of
+ * the concurrent loads to it.
  */
 import { pause } from '@finchpitch/core'
 
@@ -15,23 +16,23 @@
   /** Sources whose loads fail. */
   readonly broken = new Set<string>()
   loads = 0
-  #open = 0
-  #nextStart = 0
+  #concurrentLoads = 0
+  #nextStartAt = 0
 
   constructor (private readonly options: WeightStoreOptions) {}
 
-  /** Resolves once the weights are there; false where they can't be had. */
+  /** Loads weights. Resolves to false if `source` is marked as broken. */
   async fetch (source: string): Promise<boolean> {
     const { loadsPerSecond, fullSpeedPlaces, loadMs } = this.options
     this.loads += 1
     const now = Date.now()
-    const start = Math.max(now, this.#nextStart)
-    this.#nextStart = start + 1000 / loadsPerSecond
+    const start = Math.max(now, this.#nextStartAt)
+    this.#nextStartAt = start + 1000 / loadsPerSecond
     if (start > now) await pause(start - now)
-    this.#open += 1
-    const slowdown = Math.max(1, this.#open / fullSpeedPlaces)
+    this.#concurrentLoads += 1
+    const slowdown = Math.max(1, this.#concurrentLoads / fullSpeedPlaces)
     await pause(loadMs * slowdown)
-    this.#open -= 1
+    this.#concurrentLoads -= 1
     return !this.broken.has(source)
   }
 }
--- a/packages/stand-ins/test/fault-proxy.test.ts
+++ b/packages/stand-ins/test/fault-proxy.test.ts
@@ -1,16 +1,13 @@
 /*
- * Runs of tests and of the soak did not come back now and then: all tests had passed, and the process went on for good in the
- * runtime's own clean-up, waiting for a socket to close. The proxy that harms connections had reset a socket that was just being
- * ended; such a socket stays open for ever, without a further event.
- *
- * What settled it: the process that stood, with its 3 tests passed, spent all its time in the runtime's CleanupHandles, and a
- * script that ends a socket and resets it in one turn does not end either.
+ * Guards against a process that never exits although all its tests have passed: a socket that is reset in the event loop turn in which
+ * it was ended never closes and emits no further event (Node 20), and the runtime waits for it in CleanupHandles at exit. The fault
+ * proxy did so now and then, in tests and in the soak.
  */
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Server } from 'node:net'
 import { resetSocket } from '@finchpitch/stand-ins'
 
-describe('a socket that is reset', () => {
+describe('resetSocket', () => {
   let server: Server
 
   beforeEach(async () => {
@@ -24,12 +21,12 @@
 
   afterEach(() => { server.close() })
 
-  for (const ending of [false, true]) {
-    it(`closes ${ending ? 'in the turn in which it was ended' : 'while it is open'}`, async () => {
+  for (const endFirst of [false, true]) {
+    it(`closes a socket ${endFirst ? 'that was ended in the same event loop turn' : 'that is open'}`, async () => {
       const socket = connect({ port: (server.address() as AddressInfo).port, host: '127.0.0.1', allowHalfOpen: true })
       await once(socket, 'connect')
       const closed = once(socket, 'close')
-      if (ending) socket.end('x')
+      if (endFirst) socket.end('x')
       resetSocket(socket)
       await closed
     })
