--- a/packages/backend/src/fault.ts
+++ b/packages/backend/src/backend-error.ts
@@ -1,7 +1,7 @@
 /**
  * Errors of calls to a backend server, distinguished by what they prove about whether the request ran.
  */
-export const backendFaultTexts = {
+export const backendErrorMessages = {
   unreachable: 'no connection was made; nothing was sent',
   lost: 'the connection was lost after the request was sent',
   not_loaded: 'the engine does not hold the adapter',
@@ -9,22 +9,22 @@
   busy: 'the backend server is overloaded',
   refused: 'the backend server refused the order'
 } as const
-export type BackendFaultCode = keyof typeof backendFaultTexts
+export type BackendErrorCode = keyof typeof backendErrorMessages
 
-export interface BackendFault {
-  code: BackendFaultCode
+export interface BackendError {
+  code: BackendErrorCode
   detail: string
   /** Identifies the run of the engine that responded, if one did. */
   boot?: string
 }
 
-export const backendFault = (code: BackendFaultCode, detail: string, boot?: string): BackendFault =>
+export const backendError = (code: BackendErrorCode, detail: string, boot?: string): BackendError =>
   boot === undefined ? { code, detail } : { code, detail, boot }
 
 const connectErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
 /** Only a failed connection attempt proves that nothing was sent. */
-export const faultOf = (error: unknown): BackendFault => {
+export const toBackendError = (error: unknown): BackendError => {
   const { code, message } = error as NodeJS.ErrnoException
-  return backendFault(code !== undefined && connectErrorCodes.has(code) ? 'unreachable' : 'lost', message)
+  return backendError(code !== undefined && connectErrorCodes.has(code) ? 'unreachable' : 'lost', message)
 }
--- a/packages/backend/src/cache-event.ts
+++ b/packages/backend/src/cache-event.ts
@@ -15,7 +15,7 @@
 export type CacheEvent = z.infer<typeof CacheEvent>
 
 /** Mirrors an engine's prefix cache from its events. A gap in the sequence clears it, since any block may be gone. */
-export class PrefixCache {
+export class PrefixCacheMirror {
   readonly #blocks = new Map<string, Set<string>>()
   #boot = ''
   #nextSequence = 0
@@ -28,7 +28,7 @@
   }
 
   /** How often the sequence of events had a gap. */
-  get gaps (): number {
+  get gapCount (): number {
     return this.#gaps
   }
 
@@ -37,7 +37,7 @@
   }
 
   /** Applies an event; a repeated one is ignored. */
-  take (event: CacheEvent): void {
+  apply (event: CacheEvent): void {
     if (event.boot !== this.#boot) this.#reset(event)
     if (event.sequence < this.#nextSequence) return
     if (event.sequence > this.#nextSequence) {
--- a/packages/backend/src/engine.ts
+++ b/packages/backend/src/engine.ts
@@ -1,17 +1,17 @@
 /**
  * The interface through which a side process uses its model engine.
  */
-import type { Answer, Call } from '@finchpitch/core'
+import type { HttpResponse, HttpRequest } from '@finchpitch/core'
 import type { Result } from 'neverthrow'
 import type { CacheEvent } from './cache-event.js'
-import type { BackendFault } from './fault.js'
+import type { BackendError } from './backend-error.js'
 
-export interface Generation {
+export interface GenerationRequest {
   /** Identifies this attempt at the engine, to resume or cancel it. */
   id: string
   /** The label under which the adapter was loaded. */
   label: string
-  call: Call
+  call: HttpRequest
   /** Requests with lower values are scheduled first. */
   priority: number
   /** Separates the cached prefixes of teams. */
@@ -21,7 +21,7 @@
   signal: AbortSignal
 }
 
-export interface GeneratedAnswer extends Answer {
+export interface EngineResponse extends HttpResponse {
   /** Identifies the run of the engine that responded; it changes when the engine restarts. */
   boot: string
 }
@@ -46,13 +46,13 @@
 }
 
 export interface Engine {
-  report: () => Promise<Result<EngineReport, BackendFault>>
+  report: () => Promise<Result<EngineReport, BackendError>>
   /** Returns the boot id of the engine run that has loaded the adapter. */
-  load: (order: EngineOrder & { source: string }) => Promise<Result<string, BackendFault>>
-  unload: (order: EngineOrder) => Promise<Result<void, BackendFault>>
+  load: (order: EngineOrder & { source: string }) => Promise<Result<string, BackendError>>
+  unload: (order: EngineOrder) => Promise<Result<void, BackendError>>
   /** Succeeds once the request is certain not to run any more, or if the engine doesn't know its id. */
-  cancel: (order: { id: string, fence: number }) => Promise<Result<void, BackendFault>>
+  cancel: (order: { id: string, fence: number }) => Promise<Result<void, BackendError>>
   /** Yields events until the connection ends or `signal` aborts. */
   cacheEvents: (signal: AbortSignal) => AsyncIterable<CacheEvent>
-  generate: (generation: Generation) => Promise<Result<GeneratedAnswer, BackendFault>>
+  generate: (generation: GenerationRequest) => Promise<Result<EngineResponse, BackendError>>
 }
--- a/packages/backend/src/http-engine.ts
+++ b/packages/backend/src/http-engine.ts
@@ -5,15 +5,15 @@
  * resumed after the last complete event (`Last-Event-ID`), provided that the engine hasn't restarted. A stream is
  * complete only once `[DONE]` has been received.
  */
-import { AnswerFailure, unknown } from '@finchpitch/core'
+import { ResponseError, outcomeUnknown } from '@finchpitch/core'
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 import { err, ok, type Result } from 'neverthrow'
 import { Pool, type Dispatcher } from 'undici'
 import * as z from 'zod'
 import { CacheEvent } from './cache-event.js'
-import type { Engine, EngineOrder, EngineReport, GeneratedAnswer, Generation } from './engine.js'
-import { backendFault, faultOf, type BackendFault, type BackendFaultCode } from './fault.js'
-import { endToEnd, wholeBody } from './service.js'
+import type { Engine, EngineOrder, EngineReport, EngineResponse, GenerationRequest } from './engine.js'
+import { backendError, toBackendError, type BackendError, type BackendErrorCode } from './backend-error.js'
+import { endToEndHeaders, reportTruncation } from './service.js'
 
 const maxConnections = 256
 const connectTimeoutMs = 1000
@@ -32,14 +32,14 @@
 })
 
 /** Statuses that mean that the engine has not run the request. */
-const refusalCodes: Record<number, BackendFaultCode> = { 404: 'not_loaded', 412: 'fenced', 429: 'busy', 503: 'busy' }
+const refusalCodes: Record<number, BackendErrorCode> = { 404: 'not_loaded', 412: 'fenced', 429: 'busy', 503: 'busy' }
 
 const bootOf = (reply: Dispatcher.ResponseData): string => String(reply.headers['x-engine-boot'] ?? '')
 
 const isEventStream = (reply: Dispatcher.ResponseData): boolean =>
   String(reply.headers['content-type'] ?? '').startsWith('text/event-stream')
 
-const requestBody = ({ call, label, priority, salt }: Generation): string => {
+const requestBody = ({ call, label, priority, salt }: GenerationRequest): string => {
   const body = JSON.parse(Buffer.from(call.body).toString()) as Record<string, unknown>
   return JSON.stringify({ ...body, model: label, priority, cache_salt: salt })
 }
@@ -54,27 +54,27 @@
     this.#pool = new Pool(origin, { connections: maxConnections, connectTimeout: connectTimeoutMs, headersTimeout: 0, bodyTimeout: 0 })
   }
 
-  async report (): Promise<Result<EngineReport, BackendFault>> {
+  async report (): Promise<Result<EngineReport, BackendError>> {
     try {
       const reply = await this.#pool.request({ method: 'GET', path: '/load', headersTimeout: reportTimeoutMs, bodyTimeout: reportTimeoutMs })
       const report = Report.safeParse(await reply.body.json())
-      return report.success ? ok(report.data) : err(backendFault('refused', 'the load report is not valid'))
+      return report.success ? ok(report.data) : err(backendError('refused', 'the load report is not valid'))
     } catch (error) {
-      return err(faultOf(error))
+      return err(toBackendError(error))
     }
   }
 
-  async load ({ label, fence, source }: EngineOrder & { source: string }): Promise<Result<string, BackendFault>> {
+  async load ({ label, fence, source }: EngineOrder & { source: string }): Promise<Result<string, BackendError>> {
     const reply = await this.#sendOrder('/v1/load_lora_adapter', fence, { lora_name: label, lora_path: source })
     return reply.map(bootOf)
   }
 
-  async unload ({ label, fence }: EngineOrder): Promise<Result<void, BackendFault>> {
+  async unload ({ label, fence }: EngineOrder): Promise<Result<void, BackendError>> {
     const reply = await this.#sendOrder('/v1/unload_lora_adapter', fence, { lora_name: label })
     return reply.map(() => undefined)
   }
 
-  async cancel ({ id, fence }: { id: string, fence: number }): Promise<Result<void, BackendFault>> {
+  async cancel ({ id, fence }: { id: string, fence: number }): Promise<Result<void, BackendError>> {
     const reply = await this.#sendOrder('/v1/cancel', fence, { request_id: id })
     return reply.map(() => undefined)
   }
@@ -95,16 +95,16 @@
     }
   }
 
-  async generate (generation: Generation): Promise<Result<GeneratedAnswer, BackendFault>> {
+  async generate (generation: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
     try {
       const reply = await this.#post(generation)
       const boot = bootOf(reply)
       const refusal = refusalCodes[reply.statusCode]
-      if (refusal !== undefined) return err(backendFault(refusal, await reply.body.text(), boot))
-      const body = isEventStream(reply) ? this.#resumableEvents(generation, reply, boot) : wholeBody(reply.body)
-      return ok({ status: reply.statusCode, headers: endToEnd(reply.headers), boot, body })
+      if (refusal !== undefined) return err(backendError(refusal, await reply.body.text(), boot))
+      const body = isEventStream(reply) ? this.#resumableEvents(generation, reply, boot) : reportTruncation(reply.body)
+      return ok({ status: reply.statusCode, headers: endToEndHeaders(reply.headers), boot, body })
     } catch (error) {
-      return err(faultOf(error))
+      return err(toBackendError(error))
     }
   }
 
@@ -112,7 +112,7 @@
     await this.#pool.destroy()
   }
 
-  #post (generation: Generation, lastEventId?: string): Promise<Dispatcher.ResponseData> {
+  #post (generation: GenerationRequest, lastEventId?: string): Promise<Dispatcher.ResponseData> {
     const { call, id, fence, signal } = generation
     const headers = {
       'content-type': 'application/json',
@@ -124,7 +124,7 @@
   }
 
   /** Yields complete events. When a connection is lost, resumes the stream on another one, up to `maxResumes` times. */
-  async * #resumableEvents (generation: Generation, first: Dispatcher.ResponseData, boot: string): AsyncGenerator<Uint8Array> {
+  async * #resumableEvents (generation: GenerationRequest, first: Dispatcher.ResponseData, boot: string): AsyncGenerator<Uint8Array> {
     let lastEventId: string | undefined
     let cause = 'the stream ended early'
     for (let attempts = 0, reply: Dispatcher.ResponseData | undefined = first; reply !== undefined; attempts++) {
@@ -139,10 +139,10 @@
       }
       reply = generation.signal.aborted || attempts >= maxResumes ? undefined : await this.#resume(generation, lastEventId, boot)
     }
-    throw new AnswerFailure(unknown('answer_cut', { detail: cause }))
+    throw new ResponseError(outcomeUnknown('answer_cut', { detail: cause }))
   }
 
-  async #resume (generation: Generation, lastEventId: string | undefined, boot: string): Promise<Dispatcher.ResponseData | undefined> {
+  async #resume (generation: GenerationRequest, lastEventId: string | undefined, boot: string): Promise<Dispatcher.ResponseData | undefined> {
     if (lastEventId === undefined) return undefined
     try {
       const reply = await this.#post(generation, lastEventId)
@@ -154,15 +154,15 @@
     }
   }
 
-  async #sendOrder (path: string, fence: number, order: Record<string, string>): Promise<Result<Dispatcher.ResponseData, BackendFault>> {
+  async #sendOrder (path: string, fence: number, order: Record<string, string>): Promise<Result<Dispatcher.ResponseData, BackendError>> {
     try {
       const headers = { 'content-type': 'application/json', 'x-fence': String(fence) }
       const reply = await this.#pool.request({ method: 'POST', path, headers, body: JSON.stringify(order) })
       const text = await reply.body.text()
       if (reply.statusCode < 300) return ok(reply)
-      return err(backendFault(refusalCodes[reply.statusCode] ?? 'refused', text, bootOf(reply)))
+      return err(backendError(refusalCodes[reply.statusCode] ?? 'refused', text, bootOf(reply)))
     } catch (error) {
-      return err(faultOf(error))
+      return err(toBackendError(error))
     }
   }
 }
--- a/packages/backend/src/index.ts
+++ b/packages/backend/src/index.ts
@@ -1,5 +1,5 @@
 /** Clients of backend servers: model engines and other HTTP services. */
-export * from './fault.js'
+export * from './backend-error.js'
 export * from './cache-event.js'
 export * from './engine.js'
 export * from './http-engine.js'
--- a/packages/bench/src/rig.ts
+++ b/packages/bench/src/bench-cluster.ts
@@ -4,7 +4,7 @@
  */
 import { ModelName, Revision, ServiceName, type Serving } from '@finchpitch/core'
 import { OperatorClient } from '@finchpitch/operators'
-import { hashOfToken } from '@finchpitch/store'
+import { hashToken } from '@finchpitch/store'
 import { Daemon, EngineServer, MemoryEngine, MemoryService, PlatformServer, ServiceServer, WeightStore, operatorToken } from '@finchpitch/stand-ins'
 
 export const callerToken = 'bench-token'
@@ -14,7 +14,7 @@
 }
 
 export const benchConfiguration = (adapters: number): unknown => ({
-  teams: [{ name: 'bench', tokens: [hashOfToken(callerToken)], limits: { rate: 1e6, concurrency: 1e6 } }],
+  teams: [{ name: 'bench', tokens: [hashToken(callerToken)], limits: { rate: 1e6, concurrency: 1e6 } }],
   models: [{ name: 'base-7b' }],
   services: [{ name: 'ledger', teams: ['bench'] }],
   adapters: Array.from({ length: adapters }, (_, index) => ({
@@ -22,10 +22,10 @@
   }))
 })
 
-export class Rig {
+export class BenchCluster {
   readonly platform = new PlatformServer()
   readonly engine = new EngineServer(new MemoryEngine({
-    slots: 8, capacity: 1024, tokenMs: 1, checksFences: true, weights: new WeightStore({ loadsPerSecond: 1000, fullSpeedPlaces: 100, loadMs: 1 })
+    slots: 8, capacity: 1024, tokenMs: 1, checksFences: true, weights: new WeightStore({ loadsPerSecond: 1000, maxFullSpeedLoads: 100, loadMs: 1 })
   }))
 
   readonly ledger = new ServiceServer(new MemoryService())
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -2,19 +2,19 @@
  * `npm run bench -- capacity`: how state size, traffic, CPU time and memory grow with the number of adapters, side processes
  * and uplinks.
  */
-import { Revision, check } from '@finchpitch/core'
+import { Revision, validateConfiguration } from '@finchpitch/core'
 import { hashCandidates, rankHashedCandidates } from '@finchpitch/decisions'
-import { Catalog, split, type Head } from '@finchpitch/store'
-import { encode } from '@finchpitch/wire'
-import { publish, rounded, type Row } from './report.js'
-import { Rig, benchConfiguration } from './rig.js'
-import { usageOf } from './sample.js'
+import { Catalog, splitIntoShards, type Head } from '@finchpitch/store'
+import { encodeFrame } from '@finchpitch/wire'
+import { publishReport, roundSignificant, type Row } from './report.js'
+import { BenchCluster, benchConfiguration } from './bench-cluster.js'
+import { readProcessUsage } from './sample.js'
 
 const heartbeatsPerSecond = 0.5
 const idleMs = 12_000
 const lookupCount = 20_000
 
-const buildHead = (shards: ReturnType<typeof split>, revision: number): Head => ({
+const buildHead = (shards: ReturnType<typeof splitIntoShards>, revision: number): Head => ({
   revision: Revision.parse(revision),
   recent: [{ revision: Revision.parse(revision), applyId: 'abcdefghijklmnop', actor: 'bench', at: 0, note: '' }],
   common: shards.common,
@@ -35,12 +35,12 @@
 
 /** Cost of the number of configured adapters: size of the catalog, bytes read per change, time of a look-up. */
 const adaptersRow = (count: number): Row => {
-  const configuration = check(benchConfiguration(count))._unsafeUnwrap()
-  const shards = split(configuration)
+  const configuration = validateConfiguration(benchConfiguration(count))._unsafeUnwrap()
+  const shards = splitIntoShards(configuration)
   const before = heapBytes()
   const catalog = new Catalog('all')
   const texts = new Map([...shards.texts].map(([hash, text]) => [hash, Buffer.from(text).toString()]))
-  const moveMs = measureMs(() => { catalog.move(buildHead(shards, 1), texts) })
+  const moveMs = measureMs(() => { catalog.update(buildHead(shards, 1), texts) })
   texts.clear()
   const catalogBytes = heapBytes() - before
   const lookupMs = measureMs(() => {
@@ -54,8 +54,8 @@
     shards: shards.adapters.length,
     'catalog bytes': catalogBytes,
     'bytes/change': head + shard,
-    'first move ms': rounded(moveMs),
-    'look-up µs': rounded(lookupMs * 1000 / lookupCount)
+    'first move ms': roundSignificant(moveMs),
+    'look-up µs': roundSignificant(lookupMs * 1000 / lookupCount)
   }
 }
 
@@ -66,7 +66,7 @@
   const ms = measureMs(() => {
     for (let round = 0; round < rounds; round++) rankHashedCandidates(`bench/a${round}`, candidates, 4)
   })
-  return { dimension: 'side processes of a model', size: count, 'preference µs': rounded(ms * 1000 / rounds) }
+  return { dimension: 'side processes of a model', size: count, 'preference µs': roundSignificant(ms * 1000 / rounds) }
 }
 
 /**
@@ -74,7 +74,7 @@
  * the difference of two readings, `idleMs` apart.
  */
 const uplinksRow = async (count: number): Promise<Row> => {
-  const cluster = new Rig()
+  const cluster = new BenchCluster()
   await cluster.start()
   try {
     const entry = await cluster.entry('entry-0')
@@ -84,23 +84,23 @@
     }
     await new Promise(resolve => setTimeout(resolve, idleMs / 2))
     const callsBefore = { ...cluster.platform.store.calls }
-    const listsBefore = cluster.platform.lists
-    const entryBefore = await usageOf(entry.child.pid)
-    const sideBefore = await usageOf(cluster.daemons[1]?.child.pid)
+    const listsBefore = cluster.platform.listRequests
+    const entryBefore = await readProcessUsage(entry.child.pid)
+    const sideBefore = await readProcessUsage(cluster.daemons[1]?.child.pid)
     await new Promise(resolve => setTimeout(resolve, idleMs))
-    const entryAfter = await usageOf(entry.child.pid)
-    const sideAfter = await usageOf(cluster.daemons[1]?.child.pid)
-    const perSecond = (increase: number): number => rounded(increase * 1000 / idleMs)
+    const entryAfter = await readProcessUsage(entry.child.pid)
+    const sideAfter = await readProcessUsage(cluster.daemons[1]?.child.pid)
+    const perSecond = (increase: number): number => roundSignificant(increase * 1000 / idleMs)
     return {
       dimension: 'uplinks at an entry',
       size: count,
-      'entry CPU %': rounded(perSecond(entryAfter.cpuSeconds - entryBefore.cpuSeconds) * 100),
-      'entry MB': rounded(entryAfter.residentBytes / 2 ** 20),
-      'side CPU %': rounded(perSecond(sideAfter.cpuSeconds - sideBefore.cpuSeconds) * 100),
-      'side MB': rounded(sideAfter.residentBytes / 2 ** 20),
+      'entry CPU %': roundSignificant(perSecond(entryAfter.cpuSeconds - entryBefore.cpuSeconds) * 100),
+      'entry MB': roundSignificant(entryAfter.residentBytes / 2 ** 20),
+      'side CPU %': roundSignificant(perSecond(sideAfter.cpuSeconds - sideBefore.cpuSeconds) * 100),
+      'side MB': roundSignificant(sideAfter.residentBytes / 2 ** 20),
       'store reads/s': perSecond(cluster.platform.store.calls.reads - callsBefore.reads),
       'watches opened/s': perSecond(cluster.platform.store.calls.watches - callsBefore.watches),
-      'list reads/s': perSecond(cluster.platform.lists - listsBefore),
+      'list reads/s': perSecond(cluster.platform.listRequests - listsBefore),
       'list bytes': JSON.stringify({ items: cluster.platform.instances }).length
     }
   } finally {
@@ -111,16 +111,16 @@
 /** Bytes that the heartbeats of a channel take while no requests pass. */
 const idleChannelRow = (): Row => {
   const load = { waiting: 3, running: 12, capacity: 64, epoch: 9, leaving: false }
-  const heartbeat = encode({ type: 'heartbeat', revision: Revision.parse(10_000), load }).length
-  return { dimension: 'a channel, idle', size: 1, 'bytes/s each way': rounded(heartbeat * heartbeatsPerSecond) }
+  const heartbeat = encodeFrame({ type: 'heartbeat', revision: Revision.parse(10_000), load }).length
+  return { dimension: 'a channel, idle', size: 1, 'bytes/s each way': roundSignificant(heartbeat * heartbeatsPerSecond) }
 }
 
-export const capacity = async (): Promise<void> => {
+export const measureCapacity = async (): Promise<void> => {
   const rows: Row[] = [
     ...[520, 5200, 52_000].map(adaptersRow),
     ...[10, 100, 967].map(sideProcessesRow),
     idleChannelRow()
   ]
   for (const count of [1, 16, 64]) rows.push(await uplinksRow(count))
-  await publish({ name: 'capacity', about: `growth of each dimension; processes idle for ${idleMs / 1000} s`, rows })
+  await publishReport({ name: 'capacity', about: `growth of each dimension; processes idle for ${idleMs / 1000} s`, rows })
 }
--- a/packages/bench/src/claims.ts
+++ b/packages/bench/src/claims.ts
@@ -5,8 +5,8 @@
 import { Address, Incarnation, ProcessId, RequestKey, TeamName, randomToken, type Binding } from '@finchpitch/core'
 import { Claims, claimId } from '@finchpitch/store'
 import { MemoryStore } from '@finchpitch/stand-ins'
-import { publish, rounded, type Row } from './report.js'
-import { repeat } from './sample.js'
+import { publishReport, roundSignificant, type Row } from './report.js'
+import { measureRepeated } from './sample.js'
 
 /** Latency of each store call, as of a platform that answers within milliseconds. */
 const storeLatencyMs = 3
@@ -30,13 +30,13 @@
 
 const variants = (store: MemoryStore): Variant[] => {
   const options = { store, random: Math.random, keptMs: 60_000 }
-  const claimsPerEntry = (buckets: number): Claims[] => Array.from({ length: entries }, () => new Claims({ ...options, buckets }))
+  const claimsPerEntry = (buckets: number): Claims[] => Array.from({ length: entries }, () => new Claims({ ...options, bucketCount: buckets }))
   const objectPerKey = claimsPerEntry(2 ** 30)
   const manyBuckets = claimsPerEntry(256)
   const fewBuckets = claimsPerEntry(16)
   return [
     { name: 'an object for each key', claimsFor: index => objectPerKey[index % entries] },
-    { name: '256 buckets, each request alone', claimsFor: () => new Claims({ ...options, buckets: 256 }) },
+    { name: '256 buckets, each request alone', claimsFor: () => new Claims({ ...options, bucketCount: 256 }) },
     { name: '256 buckets, grouped by entry', claimsFor: index => manyBuckets[index % entries] },
     { name: '16 buckets, grouped by entry', claimsFor: index => fewBuckets[index % entries] },
     { name: 'tickets', claimsFor: () => undefined }
@@ -49,7 +49,7 @@
   const variant = variants(store)[variantIndex]
   if (variant === undefined) throw new Error(`no variant with index ${variantIndex}`)
   let failed = 0
-  const sample = await repeat(requests, concurrency, async index => {
+  const sample = await measureRepeated(requests, concurrency, async index => {
     const claims = variant.claimsFor(index)
     if (claims === undefined) return
     const bound = await claims.bind(claimId(team, RequestKey.parse(`key-${index}`)), binding())
@@ -59,19 +59,19 @@
   return {
     way: variant.name,
     'at once': concurrency,
-    'reads/request': rounded(reads / requests),
-    'writes/request': rounded(writes / requests),
-    'p50 ms': rounded(sample.percentile(50)),
-    'p99 ms': rounded(sample.percentile(99)),
+    'reads/request': roundSignificant(reads / requests),
+    'writes/request': roundSignificant(writes / requests),
+    'p50 ms': roundSignificant(sample.percentile(50)),
+    'p99 ms': roundSignificant(sample.percentile(99)),
     failed
   }
 }
 
-export const claims = async (): Promise<void> => {
+export const measureClaims = async (): Promise<void> => {
   const rows: Row[] = []
   const { length } = variants(new MemoryStore())
   for (let index = 0; index < length; index++) {
     for (const concurrency of [4, 32, 256]) rows.push(await measure(index, concurrency))
   }
-  await publish({ name: 'claims', about: `${requests} keys through ${entries} entries, a store that takes ${storeLatencyMs} ms a call`, rows })
+  await publishReport({ name: 'claims', about: `${requests} keys through ${entries} entries, a store that takes ${storeLatencyMs} ms a call`, rows })
 }
--- a/packages/bench/src/losses.ts
+++ b/packages/bench/src/losses.ts
@@ -9,7 +9,7 @@
 import * as z from 'zod'
 import type { Row } from './report.js'
 
-export const EndedLine = z.object({
+export const RequestEndedLine = z.object({
   event: z.literal('request.ended'),
   at: z.iso.datetime(),
   route: z.string().optional(),
@@ -21,13 +21,13 @@
   sentAtMs: z.number().optional(),
   firstByteMs: z.number().optional()
 })
-export type EndedLine = z.infer<typeof EndedLine>
+export type RequestEndedLine = z.infer<typeof RequestEndedLine>
 
 /** A stage that takes more than this share of the latency objective is the cause of lateness. */
 const dominantShare = 0.5
 const intervalMs = 5000
 
-const latenessCause = ({ objectiveMs = Infinity, firstTriedMs, waitedMs, sentAtMs = 0, firstByteMs = 0 }: EndedLine): string => {
+const latenessCause = ({ objectiveMs = Infinity, firstTriedMs, waitedMs, sentAtMs = 0, firstByteMs = 0 }: RequestEndedLine): string => {
   if (firstTriedMs + firstByteMs <= objectiveMs) return 'in time'
   if (firstTriedMs > objectiveMs * dominantShare) return 'late: came back'
   if (waitedMs > objectiveMs * dominantShare) return 'late: waited for an adapter or a place'
@@ -36,7 +36,7 @@
 }
 
 /** The cause of a request by the first word of its outcome. */
-const causes: Record<string, (line: EndedLine) => string> = {
+const causes: Record<string, (line: RequestEndedLine) => string> = {
   streamed: latenessCause,
   answered: line => line.outcome.startsWith('answered 2') ? latenessCause(line) : `${line.outcome} by the server`,
   refused: line => `refused: ${line.reason}`,
@@ -44,17 +44,17 @@
   caller_left: line => line.sentAtMs === undefined ? 'left while waiting' : 'left while at the server'
 }
 
-export const causeOf = (line: EndedLine): string => {
+export const causeOf = (line: RequestEndedLine): string => {
   const [kind = ''] = line.outcome.split(' ')
   return causes[kind]?.(line) ?? line.outcome
 }
 
 /** The event on a line of a log; `undefined` if the line is not a valid `request.ended` event. */
-export const parseEnded = (text: string): EndedLine | undefined => {
+export const parseRequestEnded = (text: string): RequestEndedLine | undefined => {
   const start = text.indexOf('{')
   if (start < 0 || !text.includes('"request.ended"')) return undefined
   try {
-    return EndedLine.safeParse(JSON.parse(text.slice(start))).data
+    return RequestEndedLine.safeParse(JSON.parse(text.slice(start))).data
   } catch {
     return undefined
   }
@@ -64,7 +64,7 @@
   /** A row for each route and cause, the most frequent cause of a route first. */
   byRoute: Row[]
   /** A row for each interval, with the requests that ended in it by result. */
-  byMoment: Row[]
+  byInterval: Row[]
 }
 
 /** What the caller got: an answer in time, a late one, or none. */
@@ -77,7 +77,7 @@
 }
 
 /** The causes of the lines of each group, sorted by the name of the group. */
-const causesByGroup = (lines: readonly EndedLine[], groupOf: (line: EndedLine) => string): Array<[name: string, causes: string[]]> => {
+const causesByGroup = (lines: readonly RequestEndedLine[], groupOf: (line: RequestEndedLine) => string): Array<[name: string, causes: string[]]> => {
   const byName = new Map<string, string[]>()
   for (const line of lines) {
     const name = groupOf(line)
@@ -88,22 +88,22 @@
   return [...byName].sort(([a], [b]) => a < b ? -1 : 1)
 }
 
-const intervalStart = ({ at }: EndedLine): string => new Date(Math.floor(Date.parse(at) / intervalMs) * intervalMs).toISOString()
+const intervalStart = ({ at }: RequestEndedLine): string => new Date(Math.floor(Date.parse(at) / intervalMs) * intervalMs).toISOString()
 
-export const lossesOf = (lines: readonly EndedLine[]): Losses => ({
+export const summarizeLosses = (lines: readonly RequestEndedLine[]): Losses => ({
   byRoute: causesByGroup(lines, line => line.route ?? 'no route').flatMap(([route, causes]) =>
     [...countByName(causes)].sort(([, a], [, b]) => b - a).map(([cause, requests]) => ({ route, cause, requests }))),
-  byMoment: causesByGroup(lines, intervalStart).map(([moment, causes]) => {
+  byInterval: causesByGroup(lines, intervalStart).map(([moment, causes]) => {
     const results = countByName(causes.map(resultOf))
     return { moment, 'in time': results.get('in time') ?? 0, late: results.get('late') ?? 0, 'not served': results.get('not served') ?? 0 }
   })
 })
 
 export const readLosses = async (path: string): Promise<Losses> => {
-  const lines: EndedLine[] = []
+  const lines: RequestEndedLine[] = []
   for await (const text of createInterface({ input: createReadStream(path) })) {
-    const line = parseEnded(text)
+    const line = parseRequestEnded(text)
     if (line !== undefined) lines.push(line)
   }
-  return lossesOf(lines)
+  return summarizeLosses(lines)
 }
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -2,21 +2,21 @@
  * `npm run bench -- NAME`: runs one measurement, prints its table and writes it as JSON. `losses FILE` analyses the log of an
  * entry instead; it prints its tables and writes nothing.
  */
-import { capacity } from './capacity.js'
-import { claims } from './claims.js'
+import { measureCapacity } from './capacity.js'
+import { measureClaims } from './claims.js'
 import { readLosses } from './losses.js'
-import { path } from './path.js'
-import { printTable } from './report.js'
+import { measurePath } from './path.js'
+import { formatTable } from './report.js'
 
 const losses = async (): Promise<void> => {
   const [, , , file] = process.argv
   if (file === undefined) throw new Error('losses needs the path of a log')
-  const { byRoute, byMoment } = await readLosses(file)
+  const { byRoute, byInterval: byMoment } = await readLosses(file)
   if (byRoute.length === 0) throw new Error(`no line "request.ended" in ${file}`)
-  process.stdout.write(`${printTable(byRoute)}\n\n${printTable(byMoment)}\n`)
+  process.stdout.write(`${formatTable(byRoute)}\n\n${formatTable(byMoment)}\n`)
 }
 
-const measurements: Record<string, () => Promise<void>> = { capacity, claims, losses, path }
+const measurements: Record<string, () => Promise<void>> = { capacity: measureCapacity, claims: measureClaims, losses, path: measurePath }
 
 const name = process.argv[2] ?? ''
 const measure = measurements[name]
--- a/packages/bench/src/path.ts
+++ b/packages/bench/src/path.ts
@@ -3,9 +3,9 @@
  * sending it to the stand-in engine directly. Both are measured in the same run.
  */
 import { Agent, request } from 'undici'
-import { publish, rounded, type Row } from './report.js'
-import { Rig, benchConfiguration, callerToken } from './rig.js'
-import { repeat, usageOf, type Sample, type Usage } from './sample.js'
+import { publishReport, roundSignificant, type Row } from './report.js'
+import { BenchCluster, benchConfiguration, callerToken } from './bench-cluster.js'
+import { measureRepeated, readProcessUsage, type LatencyHistogram, type ProcessUsage } from './sample.js'
 
 const warmUps = 200
 const requests = 600
@@ -34,19 +34,19 @@
   if (reply.statusCode !== 200 || (stream && !text.includes('[DONE]'))) throw new Error(`${target.name}: ${reply.statusCode} ${text}`)
 }
 
-const cpuSecondsBetween = (before: Usage[], after: Usage[]): number =>
+const cpuSecondsBetween = (before: ProcessUsage[], after: ProcessUsage[]): number =>
   after.reduce((sum, usage, index) => sum + usage.cpuSeconds - (before[index]?.cpuSeconds ?? 0), 0)
 
-const row = (name: string, direct: Sample, through: Sample, cpuSeconds: number[]): Row => {
-  const [entryCpu, sideCpu] = cpuSeconds.map(seconds => rounded(seconds * 1e6 / requests))
+const row = (name: string, direct: LatencyHistogram, through: LatencyHistogram, cpuSeconds: number[]): Row => {
+  const [entryCpu, sideCpu] = cpuSeconds.map(seconds => roundSignificant(seconds * 1e6 / requests))
   return {
     request: name,
-    'direct p50 ms': rounded(direct.percentile(50)),
-    'through p50 ms': rounded(through.percentile(50)),
-    'ratio p50': rounded(through.percentile(50) / direct.percentile(50)),
-    'direct p99 ms': rounded(direct.percentile(99)),
-    'through p99 ms': rounded(through.percentile(99)),
-    'ratio p99': rounded(through.percentile(99) / direct.percentile(99)),
+    'direct p50 ms': roundSignificant(direct.percentile(50)),
+    'through p50 ms': roundSignificant(through.percentile(50)),
+    'ratio p50': roundSignificant(through.percentile(50) / direct.percentile(50)),
+    'direct p99 ms': roundSignificant(direct.percentile(99)),
+    'through p99 ms': roundSignificant(through.percentile(99)),
+    'ratio p99': roundSignificant(through.percentile(99) / direct.percentile(99)),
     'entry CPU µs': entryCpu ?? NaN,
     'side CPU µs': sideCpu ?? NaN
   }
@@ -54,16 +54,16 @@
 
 /** Growth of each process's resident memory per open stream, with `openStreams` slow ones open. */
 const streamBytes = async (target: Target, pids: Array<number | undefined>): Promise<number[]> => {
-  const before = await Promise.all(pids.map(usageOf))
+  const before = await Promise.all(pids.map(readProcessUsage))
   const replies = await Promise.all(Array.from({ length: openStreams }, (_, index) => send(target, index, true, longStreamTokens)))
   await new Promise(resolve => setTimeout(resolve, settleMs))
-  const after = await Promise.all(pids.map(usageOf))
+  const after = await Promise.all(pids.map(readProcessUsage))
   for (const { body } of replies) body.on('error', () => {}).destroy()
   return after.map((usage, index) => Math.round((usage.residentBytes - (before[index]?.residentBytes ?? 0)) / openStreams))
 }
 
-export const path = async (): Promise<void> => {
-  const cluster = new Rig()
+export const measurePath = async (): Promise<void> => {
+  const cluster = new BenchCluster()
   await cluster.start()
   const side = await cluster.engineSide('engine-0')
   const entry = await cluster.entry('entry-0')
@@ -75,17 +75,17 @@
   const pids = [entry.child.pid, side.child.pid]
   const rows: Row[] = []
   for (const [stream, concurrency] of [[false, 1], [false, 16], [true, 1], [true, 16]] as const) {
-    for (const target of [direct, through]) await repeat(warmUps, concurrency, sendAndReadAll(target, stream))
-    const directSample = await repeat(requests, concurrency, sendAndReadAll(direct, stream))
-    const before = await Promise.all(pids.map(usageOf))
-    const throughSample = await repeat(requests, concurrency, sendAndReadAll(through, stream))
-    const after = await Promise.all(pids.map(usageOf))
-    rows.push(row(`${stream ? 'stream' : 'whole'}, ${concurrency} at once`, directSample, throughSample, pids.map((_, index) => cpuSecondsBetween([before[index] as Usage], [after[index] as Usage]))))
+    for (const target of [direct, through]) await measureRepeated(warmUps, concurrency, sendAndReadAll(target, stream))
+    const directSample = await measureRepeated(requests, concurrency, sendAndReadAll(direct, stream))
+    const before = await Promise.all(pids.map(readProcessUsage))
+    const throughSample = await measureRepeated(requests, concurrency, sendAndReadAll(through, stream))
+    const after = await Promise.all(pids.map(readProcessUsage))
+    rows.push(row(`${stream ? 'stream' : 'whole'}, ${concurrency} at once`, directSample, throughSample, pids.map((_, index) => cpuSecondsBetween([before[index] as ProcessUsage], [after[index] as ProcessUsage]))))
   }
   cluster.engine.engine.tokenMs = slowTokenMs
   const [entryBytes, sideBytes] = await streamBytes(through, pids)
   rows.push({ request: `open stream, ${openStreams} at once`, 'entry bytes': entryBytes ?? NaN, 'side bytes': sideBytes ?? NaN })
   await cluster.stop()
   await agent.destroy()
-  await publish({ name: 'path', about: `${requests} requests of one token each way, in one run; CPU by the kernel's count`, rows })
+  await publishReport({ name: 'path', about: `${requests} requests of one token each way, in one run; CPU by the kernel's count`, rows })
 }
--- a/packages/bench/src/sample.ts
+++ b/packages/bench/src/sample.ts
@@ -6,10 +6,10 @@
 
 const microsecondsPerMs = 1000
 
-export class Sample {
+export class LatencyHistogram {
   readonly #histogram: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 600_000_000, numberOfSignificantValueDigits: 3 })
 
-  add (ms: number): void {
+  record (ms: number): void {
     this.#histogram.recordValue(Math.max(1, Math.round(ms * microsecondsPerMs)))
   }
 
@@ -24,22 +24,22 @@
 }
 
 /** Runs `task` `count` times with `concurrency` runs at a time, and records the duration of each. */
-export const repeat = async (count: number, concurrency: number, task: (index: number) => Promise<void>): Promise<Sample> => {
-  const sample = new Sample()
+export const measureRepeated = async (count: number, concurrency: number, task: (index: number) => Promise<void>): Promise<LatencyHistogram> => {
+  const sample = new LatencyHistogram()
   let next = 0
   const worker = async (): Promise<void> => {
     while (next < count) {
       const index = next++
       const startedAt = performance.now()
       await task(index)
-      sample.add(performance.now() - startedAt)
+      sample.record(performance.now() - startedAt)
     }
   }
   await Promise.all(Array.from({ length: concurrency }, worker))
   return sample
 }
 
-export interface Usage {
+export interface ProcessUsage {
   cpuSeconds: number
   residentBytes: number
 }
@@ -48,7 +48,7 @@
 const pageBytes = 4096
 
 /** Reads a process's CPU time and memory from /proc, which adds no work to the process itself. */
-export const usageOf = async (pid: number | undefined): Promise<Usage> => {
+export const readProcessUsage = async (pid: number | undefined): Promise<ProcessUsage> => {
   const stat = await readFile(`/proc/${pid ?? 'self'}/stat`, 'utf8')
   // The second field, the command name in parentheses, may contain spaces: split only what follows it.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ').map(Number)
--- a/packages/bench/test/losses.test.ts
+++ b/packages/bench/test/losses.test.ts
@@ -1,7 +1,7 @@
-import { causeOf, lossesOf, parseEnded, type EndedLine } from '@finchpitch/bench'
+import { causeOf, summarizeLosses, parseRequestEnded, type RequestEndedLine } from '@finchpitch/bench'
 import { expect } from 'chai'
 
-const line = (overrides: Partial<EndedLine>): EndedLine => ({
+const line = (overrides: Partial<RequestEndedLine>): RequestEndedLine => ({
   event: 'request.ended', at: '2026-05-20T10:00:01.000Z', route: 'r', objectiveMs: 600, reason: '', outcome: 'streamed', firstTriedMs: 0, waitedMs: 0, sentAtMs: 1, firstByteMs: 100, ...overrides
 })
 
@@ -28,12 +28,12 @@
 
   describe('a log file', () => {
     it('is parsed with prefixes before its events, and other lines are skipped', () => {
-      expect(parseEnded(` 12.5 front-1 ${JSON.stringify(line({}))}`)).to.deep.equal(line({}))
-      for (const other of ['', 'text', '{"event":"request.ended"', '{"event":"request.ended"}', '{"event":"side.lost"}']) expect(parseEnded(other)).to.equal(undefined)
+      expect(parseRequestEnded(` 12.5 front-1 ${JSON.stringify(line({}))}`)).to.deep.equal(line({}))
+      for (const other of ['', 'text', '{"event":"request.ended"', '{"event":"request.ended"}', '{"event":"side.lost"}']) expect(parseRequestEnded(other)).to.equal(undefined)
     })
 
     it('is counted by route and by interval', () => {
-      const { byRoute, byMoment } = lossesOf([line({ outcome: 'refused', reason: 'full' }), line({}), line({}), line({ route: 's', at: '2026-05-20T10:00:07.000Z' })])
+      const { byRoute, byInterval: byMoment } = summarizeLosses([line({ outcome: 'refused', reason: 'full' }), line({}), line({}), line({ route: 's', at: '2026-05-20T10:00:07.000Z' })])
       expect(byRoute).to.deep.equal([
         { route: 'r', cause: 'in time', requests: 2 }, { route: 'r', cause: 'refused: full', requests: 1 }, { route: 's', cause: 'in time', requests: 1 }
       ])
--- a/packages/callers/src/ask.ts
+++ b/packages/callers/src/caller-request.ts
@@ -1,34 +1,34 @@
 /**
  * Parses a caller's HTTP request, and validates all of it that can be validated without the configuration.
  */
-import { AdapterName, RequestKey, ServiceName, TeamName, WorkClass, findingsOf, finding, notRun, type Call, type Failure, type Finding, type RequestId } from '@finchpitch/core'
+import { AdapterName, RequestKey, ServiceName, TeamName, WorkClass, findingsOf, finding, notRun, type HttpRequest, type Failure, type Finding, type RequestId } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
 
 const defaultPatienceMs = 60_000
 const maxPatienceMs = 24 * 60 * 60 * 1000
 
-export type AskedTarget =
+export type RequestTarget =
   | { kind: 'adapter', team: TeamName, adapter: AdapterName, version: string | undefined }
   | { kind: 'service', service: ServiceName }
 
 /** The idempotency key of a request that may run at most once. */
-export interface Once {
+export interface Idempotency {
   key: RequestKey
   /** The caller states that it has not sent a request with this key before. */
   firstTry: boolean
 }
 
-export interface Ask {
+export interface CallerRequest {
   id: RequestId
   token: string | undefined
-  target: AskedTarget
-  call: Call
+  target: RequestTarget
+  call: HttpRequest
   class: WorkClass
   /** How long the caller is willing to wait. */
   patienceMs: number
   /** Set on requests that may run at most once. */
-  once: Once | undefined
+  once: Idempotency | undefined
   /** Whether the request may be retried even if it may have run already. */
   repeatable: boolean
 }
@@ -38,7 +38,7 @@
   findings: Finding[]
 }
 
-export interface RawAsk {
+export interface RawRequest {
   id: RequestId
   method: string
   /** Including the query. */
@@ -77,7 +77,7 @@
 const rejection = (code: Failure['code'], findings: Finding[]): Rejection =>
   ({ failure: notRun(code, { detail: findings.map(each => `${each.path}: ${each.message}`).join('; ') }), findings })
 
-type TargetParser = (raw: RawAsk) => Result<AskedTarget, Rejection>
+type TargetParser = (raw: RawRequest) => Result<RequestTarget, Rejection>
 
 const readJson = (body: Buffer): Result<unknown, Rejection> => {
   try {
@@ -88,7 +88,7 @@
 }
 
 const targetFromBody = (schema: typeof ChatBody | typeof CompletionBody): TargetParser => raw =>
-  readJson(raw.body).andThen((json): Result<AskedTarget, Rejection> => {
+  readJson(raw.body).andThen((json): Result<RequestTarget, Rejection> => {
     const parsed = schema.safeParse(json)
     return parsed.success ? ok(parsed.data.model) : err(rejection('invalid_body', findingsOf(parsed.error, 'body')))
   })
@@ -101,15 +101,15 @@
 }
 
 /** Reads the target of a request, for each kind of endpoint. */
-export const targetReaders = {
+export const targetParsers = {
   chat: targetFromBody(ChatBody),
   completion: targetFromBody(CompletionBody),
   service: targetFromPath
 } satisfies Record<string, TargetParser>
-export type AskKind = keyof typeof targetReaders
+export type EndpointKind = keyof typeof targetParsers
 
 /** The path that is sent to the backend server. */
-const backendPath = (kind: AskKind, path: string): string => {
+const backendPath = (kind: EndpointKind, path: string): string => {
   if (kind !== 'service') return path.split('?')[0] ?? path
   const [, , rest, query] = servicePattern.exec(path) ?? []
   return `${rest ?? '/'}${query ?? ''}`
@@ -117,7 +117,7 @@
 
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS'])
 
-const isRepeatable = (kind: AskKind, method: string, headers: RequestHeaders): boolean => {
+const isRepeatable = (kind: EndpointKind, method: string, headers: RequestHeaders): boolean => {
   if (headers['idempotency-key'] !== undefined) return false
   if (headers['finchpitch-repeatable'] !== undefined) return headers['finchpitch-repeatable'] === 'yes'
   return kind !== 'service' || safeMethods.has(method)
@@ -125,12 +125,12 @@
 
 const reservedHeader = /^(finchpitch-|idempotency-key$|authorization$)/
 
-const forwardedHeaders = (headers: RawAsk['headers']): Record<string, string> =>
+const forwardedHeaders = (headers: RawRequest['headers']): Record<string, string> =>
   Object.fromEntries(Object.entries(headers)
     .filter((entry): entry is [string, string | string[]] => entry[1] !== undefined && !reservedHeader.test(entry[0]))
     .map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : value]))
 
-export const readAsk = (kind: AskKind, raw: RawAsk): Result<Ask, Rejection> => {
+export const parseCallerRequest = (kind: EndpointKind, raw: RawRequest): Result<CallerRequest, Rejection> => {
   const parsed = RequestHeaders.safeParse(raw.headers)
   if (!parsed.success) return err(rejection('invalid_header', findingsOf(parsed.error, 'headers')))
   const headers = parsed.data
@@ -138,7 +138,7 @@
   if (headers['finchpitch-repeatable'] === 'no' && key === undefined) {
     return err(rejection('key_required', [finding('conflicting_settings', 'headers.idempotency-key', 'required with finchpitch-repeatable: no')]))
   }
-  return targetReaders[kind](raw).map(target => ({
+  return targetParsers[kind](raw).map(target => ({
     id: raw.id,
     token: headers.authorization?.replace(/^Bearer /i, ''),
     target,
--- a/packages/callers/src/index.ts
+++ b/packages/callers/src/index.ts
@@ -1,3 +1,3 @@
 /** The HTTP API for callers: OpenAI-compatible completions and calls to services. */
-export * from './ask.js'
+export * from './caller-request.js'
 export * from './routes.js'
--- a/packages/callers/src/routes.ts
+++ b/packages/callers/src/routes.ts
@@ -2,19 +2,19 @@
  * The routes of the callers' API. Each request is parsed and passed to `serve`, and the response is streamed back with
  * backpressure.
  */
-import { newRequestId, untried, type Answer, type Failure, type Log } from '@finchpitch/core'
-import { readBody, sendAnswer, sendFailure, type Exchange, type RouteHandler, type Routes } from '@finchpitch/http'
+import { newRequestId, notRunThisAttempt, type HttpResponse, type Failure, type Log } from '@finchpitch/core'
+import { readBody, sendResponse, sendFailure, type Exchange, type RouteHandler, type Routes } from '@finchpitch/http'
 import type { Result } from 'neverthrow'
-import { readAsk, type Ask, type AskKind } from './ask.js'
+import { parseCallerRequest, type CallerRequest, type EndpointKind } from './caller-request.js'
 
 /** Handles one request; `signal` aborts when the caller disconnects. */
-export type Serve = (request: Ask, signal: AbortSignal) => Promise<Result<Answer, Failure>>
+export type RequestHandler = (request: CallerRequest, signal: AbortSignal) => Promise<Result<HttpResponse, Failure>>
 
-export interface CallerOptions {
-  serve: Serve
+export interface CallerRoutesOptions {
+  serve: RequestHandler
   log: Log
   /** Called at the end of every request. */
-  observe: (request: Ask, end: RequestEnd) => void
+  onRequestEnd: (request: CallerRequest, end: RequestEnd) => void
 }
 
 export interface RequestEnd {
@@ -30,11 +30,11 @@
 const withRejectionOutcome = (failure: Failure, exchange: Exchange): Failure => {
   const { headers } = exchange.request
   const mayBeRetry = headers['idempotency-key'] !== undefined && headers['finchpitch-first-try'] !== 'yes'
-  return mayBeRetry ? untried(failure) : failure
+  return mayBeRetry ? notRunThisAttempt(failure) : failure
 }
 
 /** Returns the parsed request, or `undefined` after an error response has been sent. */
-const receiveRequest = async (kind: AskKind, exchange: Exchange): Promise<Ask | undefined> => {
+const receiveRequest = async (kind: EndpointKind, exchange: Exchange): Promise<CallerRequest | undefined> => {
   const { request, response } = exchange
   const id = newRequestId()
   const body = await readBody(request)
@@ -44,13 +44,13 @@
     return undefined
   }
   const raw = { id, method: request.method ?? 'GET', path: pathOf(exchange), headers: request.headers, body: body.value }
-  const parsed = readAsk(kind, raw)
+  const parsed = parseCallerRequest(kind, raw)
   if (parsed.isOk()) return parsed.value
   sendFailure(response, withRejectionOutcome(parsed.error.failure, exchange), id, parsed.error.findings)
   return undefined
 }
 
-const handle = (kind: AskKind, { serve, log, observe: onRequestEnd }: CallerOptions): RouteHandler => async exchange => {
+const handle = (kind: EndpointKind, { serve, log, onRequestEnd }: CallerRoutesOptions): RouteHandler => async exchange => {
   const { response } = exchange
   const startedAt = performance.now()
   const request = await receiveRequest(kind, exchange)
@@ -65,12 +65,12 @@
   log.debug('request.ended', { request: request.id, ...end, durationMs })
 }
 
-const respond = async ({ response }: Exchange, request: Ask, served: Result<Answer, Failure>): Promise<Omit<RequestEnd, 'durationMs'>> => {
+const respond = async ({ response }: Exchange, request: CallerRequest, served: Result<HttpResponse, Failure>): Promise<Omit<RequestEnd, 'durationMs'>> => {
   if (served.isErr()) {
     sendFailure(response, served.error, request.id)
     return { outcome: served.error.outcome, code: served.error.code }
   }
-  const sent = await sendAnswer(response, served.value, request.id)
+  const sent = await sendResponse(response, served.value, request.id)
   if (sent.kind === 'whole') return { outcome: 'ran', code: 'none' }
   if (sent.kind === 'hung_up') return { outcome: 'hung_up', code: 'cancelled' }
   return { outcome: sent.failure.outcome, code: sent.failure.code }
@@ -84,20 +84,20 @@
 const pathOf = ({ request }: Exchange): string =>
   ((request as typeof request & { originalUrl?: string }).originalUrl ?? request.url ?? '/').replace(leadingTicketPrefix, '')
 
-export const callerRoutes = (options: CallerOptions): Routes => ({
+export const callerRoutes = (options: CallerRoutesOptions): Routes => ({
   'POST /v1/chat/completions': handle('chat', options),
   'POST /v1/completions': handle('completion', options),
   '/services/:service/:path*': handle('service', options)
 })
 
-export interface TicketOptions {
+export interface TicketRoutesOptions {
   /** Returns an idempotency key that identifies the only process that may run the request. */
-  issue: (request: Ask) => Promise<Result<string, Failure>>
+  issue: (request: CallerRequest) => Promise<Result<string, Failure>>
 }
 
 /** A ticket is requested with the path, body and headers of the request that it is for. */
-export const ticketRoutes = ({ issue }: TicketOptions): Routes => {
-  const handleTicket = (kind: AskKind): RouteHandler => async exchange => {
+export const ticketRoutes = ({ issue }: TicketRoutesOptions): Routes => {
+  const handleTicket = (kind: EndpointKind): RouteHandler => async exchange => {
     const { response } = exchange
     const request = await receiveRequest(kind, exchange)
     if (request === undefined) return
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -5,7 +5,7 @@
 import { userInfo } from 'node:os'
 import { Args, Flags } from '@oclif/core'
 import type { ApplyReply } from '@finchpitch/operators'
-import { difference, printDifference, withoutPruning } from '../difference.js'
+import { diffConfigurations, formatChanges, mergeDeclared } from '../configuration-diff.js'
 import { OperatorCommand, exitCodes } from '../operator-command.js'
 
 const exitCodeByReply: Record<ApplyReply['kind'], number> = {
@@ -13,7 +13,7 @@
   unchanged: 0,
   conflict: exitCodes.conflict,
   invalid: exitCodes.invalid,
-  unsettled: exitCodes.unsettled,
+  unsettled: exitCodes.indeterminate,
   unavailable: exitCodes.failed
 }
 
@@ -42,11 +42,11 @@
   async run (): Promise<unknown> {
     const { args, flags } = await this.parse(Apply)
     const declared = await this.declarationsOrExit(args.folder)
-    const client = this.client(flags)
-    const { revision, configuration } = await this.inForce(client)
-    const target = flags.prune ? declared : withoutPruning(configuration, declared)
-    const differences = difference(configuration, target)
-    this.log(printDifference(differences))
+    const client = this.createClient(flags)
+    const { revision, configuration } = await this.currentConfiguration(client)
+    const target = flags.prune ? declared : mergeDeclared(configuration, declared)
+    const differences = diffConfigurations(configuration, target)
+    this.log(formatChanges(differences))
     if (flags['dry-run']) return { differences }
     const reply = this.valueOrExit(await client.apply({ configuration: target, base: revision, actor: flags.actor, note: flags.note }))
     this.log(describe(reply))
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -7,7 +7,7 @@
 
   async run (): Promise<unknown> {
     const { flags } = await this.parse(Get)
-    const reply = await this.inForce(this.client(flags))
+    const reply = await this.currentConfiguration(this.createClient(flags))
     this.log(`# revision ${reply.revision}\n${stringify(reply.configuration)}`)
     return reply
   }
--- a/packages/cli/src/commands/history.ts
+++ b/packages/cli/src/commands/history.ts
@@ -6,7 +6,7 @@
 
   async run (): Promise<unknown> {
     const { flags } = await this.parse(History)
-    const reply = this.valueOrExit(await this.client(flags).history())
+    const reply = this.valueOrExit(await this.createClient(flags).history())
     for (const { revision, at, actor, note, applyId } of reply.changes) {
       this.log(`${String(revision).padStart(6)}  ${new Date(at).toISOString()}  ${actor.padEnd(16)}  ${applyId}  ${note}`)
     }
--- a/packages/cli/src/commands/log-level.ts
+++ b/packages/cli/src/commands/log-level.ts
@@ -9,7 +9,7 @@
 
   async run (): Promise<unknown> {
     const { args, flags } = await this.parse(LogsLevel)
-    const reply = this.valueOrExit(await this.client(flags).setLogLevel(LogLevelBody.parse(args)))
+    const reply = this.valueOrExit(await this.createClient(flags).setLogLevel(LogLevelBody.parse(args)))
     this.log(`log level ${reply.level}`)
     return reply
   }
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -13,7 +13,7 @@
 
   async run (): Promise<unknown> {
     const { flags } = await this.parse(Status)
-    const reply = this.valueOrExit(await this.client(flags).status())
+    const reply = this.valueOrExit(await this.createClient(flags).status())
     this.log(`revision ${reply.revision}`)
     for (const each of reply.processes) {
       const load = each.running === undefined ? '' : `${each.running} running, ${each.waiting ?? 0} waiting`
--- a/packages/cli/src/commands/wait.ts
+++ b/packages/cli/src/commands/wait.ts
@@ -21,7 +21,7 @@
 
   async run (): Promise<unknown> {
     const { args, flags } = await this.parse(Wait)
-    const client = this.client(flags)
+    const client = this.createClient(flags)
     const deadline = Date.now() + flags.seconds * 1000
     while (true) {
       const status = this.valueOrExit(await client.status())
--- a/packages/cli/src/difference.ts
+++ b/packages/cli/src/configuration-diff.ts
@@ -6,7 +6,7 @@
 type Kind = keyof Configuration
 type Element = Configuration[Kind][number]
 
-export interface Difference {
+export interface ConfigurationChange {
   kind: Kind
   name: string
   change: 'added' | 'changed' | 'removed'
@@ -19,16 +19,16 @@
 
 const kinds: Kind[] = ['teams', 'models', 'services', 'adapters']
 
-export const difference = (from: Configuration, to: Configuration): Difference[] => kinds.flatMap(kind => {
+export const diffConfigurations = (from: Configuration, to: Configuration): ConfigurationChange[] => kinds.flatMap(kind => {
   const before = elementsByName(from[kind])
   const after = elementsByName(to[kind])
   const removedNames = [...before.keys()].filter(name => !after.has(name))
-  const current = [...after].flatMap(([name, element]): Difference[] => {
+  const current = [...after].flatMap(([name, element]): ConfigurationChange[] => {
     const previous = before.get(name)
     if (previous === undefined) return [{ kind, name, change: 'added' }]
     return JSON.stringify(previous) === JSON.stringify(element) ? [] : [{ kind, name, change: 'changed' }]
   })
-  return [...current, ...removedNames.map((name): Difference => ({ kind, name, change: 'removed' }))]
+  return [...current, ...removedNames.map((name): ConfigurationChange => ({ kind, name, change: 'removed' }))]
 })
 
 const overlay = <E extends Element>(base: readonly E[], top: readonly E[]): E[] => {
@@ -37,7 +37,7 @@
 }
 
 /** The configuration in force with each declared element added, or replacing the one of its name. Nothing is removed. */
-export const withoutPruning = (inForce: Configuration, declared: Configuration): Configuration => ({
+export const mergeDeclared = (inForce: Configuration, declared: Configuration): Configuration => ({
   teams: overlay(inForce.teams, declared.teams),
   models: overlay(inForce.models, declared.models),
   services: overlay(inForce.services, declared.services),
@@ -46,5 +46,5 @@
 
 const changeSymbols = { added: '+', changed: '~', removed: '-' } as const
 
-export const printDifference = (differences: Difference[]): string =>
+export const formatChanges = (differences: ConfigurationChange[]): string =>
   differences.map(({ kind, name, change }) => `${changeSymbols[change]} ${kind} ${name}`).join('\n')
--- a/packages/cli/src/declarations.ts
+++ b/packages/cli/src/declarations.ts
@@ -6,7 +6,7 @@
  */
 import { readFile, readdir } from 'node:fs/promises'
 import { join, relative } from 'node:path'
-import { Configuration, check, finding, type Finding } from '@finchpitch/core'
+import { Configuration, validateConfiguration, finding, type Finding } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
 import { LineCounter, isNode, parseDocument, type Document } from 'yaml'
 
@@ -99,7 +99,7 @@
     finding('invalid_syntax', formatPosition(source, error.pos[0]), error.message.split('\n')[0] ?? '')))
   if (syntaxFindings.length > 0) return err(syntaxFindings)
   const { document, origins, findings } = merge(sources)
-  const checked = check(document)
+  const checked = validateConfiguration(document)
   const locatedFindings = checked.isErr() ? checked.error.map(each => withPosition(each, origins)) : []
   if (checked.isErr() || findings.length > 0) return err([...findings, ...locatedFindings])
   return ok(checked.value)
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -3,7 +3,7 @@
  */
 import { Command, Flags } from '@oclif/core'
 import { printFindings, type Configuration, type Finding } from '@finchpitch/core'
-import { OperatorClient, type ClientFault, type ConfigurationReply } from '@finchpitch/operators'
+import { OperatorClient, type OperatorClientError, type ConfigurationReply } from '@finchpitch/operators'
 import type { Result } from 'neverthrow'
 import { readDeclarations } from './declarations.js'
 
@@ -15,7 +15,7 @@
   /** The configuration was changed by somebody else in the meantime. */
   conflict: 3,
   /** The entry could not be reached, or it is unknown whether the change was accepted. */
-  unsettled: 4
+  indeterminate: 4
 } as const
 
 export abstract class OperatorCommand extends Command {
@@ -26,28 +26,28 @@
     token: Flags.string({ description: 'the operators\' bearer token', env: 'FINCHPITCH_TOKEN', required: true })
   }
 
-  protected client ({ entry, token }: { entry: string, token: string }): OperatorClient {
+  protected createClient ({ entry, token }: { entry: string, token: string }): OperatorClient {
     return new OperatorClient({ origin: entry.replace(/\/$/, ''), token })
   }
 
-  protected valueOrExit<T> (result: Result<T, ClientFault>): T {
+  protected valueOrExit<T> (result: Result<T, OperatorClientError>): T {
     if (result.isOk()) return result.value
     this.logToStderr(result.error.message)
-    return this.exit(result.error.code === 'refused' ? exitCodes.failed : exitCodes.unsettled)
+    return this.exit(result.error.code === 'refused' ? exitCodes.failed : exitCodes.indeterminate)
   }
 
   protected async declarationsOrExit (folder: string): Promise<Configuration> {
     const declared = await readDeclarations(folder)
-    return declared.isOk() ? declared.value : this.exitWith(declared.error)
+    return declared.isOk() ? declared.value : this.exitWithFindings(declared.error)
   }
 
-  protected exitWith (findings: Finding[]): never {
+  protected exitWithFindings (findings: Finding[]): never {
     this.logToStderr(printFindings(findings))
     this.logToStderr(`${findings.length} ${findings.length === 1 ? 'finding' : 'findings'}`)
     return this.exit(exitCodes.invalid)
   }
 
-  protected async inForce (client: OperatorClient): Promise<ConfigurationReply> {
+  protected async currentConfiguration (client: OperatorClient): Promise<ConfigurationReply> {
     return this.valueOrExit(await client.configuration())
   }
 }
--- a/packages/cli/test/commands.test.ts
+++ b/packages/cli/test/commands.test.ts
@@ -3,7 +3,7 @@
 import { createRequire } from 'node:module'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { SmallSystem, operatorToken, smallConfiguration } from '@finchpitch/stand-ins'
+import { TestSystem, operatorToken, testConfiguration } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 import { stringify } from 'yaml'
 
@@ -17,7 +17,7 @@
 
 describe('commands', function () {
   this.timeout(60_000)
-  let system: SmallSystem
+  let system: TestSystem
   let folder: string
 
   const finchpitch = async (...args: string[]): Promise<Exit> => await new Promise(resolve => {
@@ -30,7 +30,7 @@
   const writeDeclarations = async (configuration: unknown): Promise<void> => await writeFile(join(folder, 'all.yaml'), stringify(configuration))
 
   before(async () => {
-    system = await SmallSystem.start()
+    system = await TestSystem.start()
     folder = await mkdtemp(join(tmpdir(), 'declarations-'))
   })
 
@@ -40,7 +40,7 @@
   })
 
   it('validate, compare, apply and print declarations', async () => {
-    await writeDeclarations({ ...smallConfiguration, models: [{ name: 'base-7b' }, { name: 'base-13b' }] })
+    await writeDeclarations({ ...testConfiguration, models: [{ name: 'base-7b' }, { name: 'base-13b' }] })
     expect((await finchpitch('check', folder)).out).to.equal('2 teams, 2 models, 1 services, 2 adapters\n')
     expect((await finchpitch('diff', folder)).out).to.equal('+ models base-13b\n')
     expect((await finchpitch('apply', folder, '--dry-run')).out).to.equal('+ models base-13b\n')
@@ -54,7 +54,7 @@
   })
 
   it('remove undeclared elements only with --prune', async () => {
-    await writeDeclarations({ ...smallConfiguration, models: [{ name: 'base-7b' }] })
+    await writeDeclarations({ ...testConfiguration, models: [{ name: 'base-7b' }] })
     expect((await finchpitch('diff', folder)).out).to.equal('no difference\n')
     expect((await finchpitch('diff', folder, '--prune', '--json')).out).to.contain('"removed"')
   })
--- a/packages/cli/test/declarations.test.ts
+++ b/packages/cli/test/declarations.test.ts
@@ -1,8 +1,8 @@
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { check } from '@finchpitch/core'
-import { difference, printDifference, readDeclarations, withoutPruning } from '@finchpitch/cli'
+import { validateConfiguration } from '@finchpitch/core'
+import { diffConfigurations, formatChanges, readDeclarations, mergeDeclared } from '@finchpitch/cli'
 import { expect } from 'chai'
 
 describe('declarations', () => {
@@ -48,16 +48,16 @@
 })
 
 describe('difference', () => {
-  const configurationOf = (...teams: Array<[string, number]>): ReturnType<typeof withoutPruning> =>
-    check({ teams: teams.map(([name, weight]) => ({ name, weight, tokens: [] })) })._unsafeUnwrap()
+  const configurationOf = (...teams: Array<[string, number]>): ReturnType<typeof mergeDeclared> =>
+    validateConfiguration({ teams: teams.map(([name, weight]) => ({ name, weight, tokens: [] })) })._unsafeUnwrap()
 
   it('lists added, changed and removed elements', () => {
-    const text = printDifference(difference(configurationOf(['a', 1], ['b', 1]), configurationOf(['b', 2], ['c', 1])))
+    const text = formatChanges(diffConfigurations(configurationOf(['a', 1], ['b', 1]), configurationOf(['b', 2], ['c', 1])))
     expect(text.split('\n')).to.have.members(['~ teams b', '+ teams c', '- teams a'])
   })
 
   it('removes nothing without pruning', () => {
     const inForce = configurationOf(['a', 1], ['b', 1])
-    expect(printDifference(difference(inForce, withoutPruning(inForce, configurationOf(['b', 2]))))).to.equal('~ teams b')
+    expect(formatChanges(diffConfigurations(inForce, mergeDeclared(inForce, configurationOf(['b', 2]))))).to.equal('~ teams b')
   })
 })
--- a/packages/core/src/abort.ts
+++ b/packages/core/src/abort.ts
@@ -34,7 +34,7 @@
 }
 
 /** Resolves to the promise's value, or to `fallback` if it hasn't settled after `ms`. */
-export const within = async <T, F>(ms: number, promise: Promise<T>, fallback: F): Promise<T | F> => {
+export const withTimeout = async <T, F>(ms: number, promise: Promise<T>, fallback: F): Promise<T | F> => {
   let timer: NodeJS.Timeout | undefined
   const timedOut = new Promise<F>(resolve => { timer = setTimeout(resolve, ms, fallback) })
   try {
--- a/packages/core/src/configuration.ts
+++ b/packages/core/src/configuration.ts
@@ -107,7 +107,7 @@
 }
 
 /** Validates a document. Returns the parsed configuration, or all findings with their paths. */
-export const check = (document: unknown): Result<Configuration, Finding[]> => {
+export const validateConfiguration = (document: unknown): Result<Configuration, Finding[]> => {
   const parsed = Configuration.safeParse(document)
   if (!parsed.success) return err(findingsOf(parsed.error))
   const findings = checkReferences(parsed.data)
@@ -115,7 +115,7 @@
 }
 
 /** Resolves a version, an alias or, if neither is given, the default to an exact version; `undefined` if it is not declared. */
-export const versionOf = (adapter: Adapter, requested: string | undefined): AdapterVersion | undefined => {
+export const resolveVersion = (adapter: Adapter, requested: string | undefined): AdapterVersion | undefined => {
   const name = requested ?? adapter.default
   const resolved = Object.hasOwn(adapter.aliases, name) ? adapter.aliases[name as AliasName] : name
   return adapter.versions.find(each => each.version === resolved)?.version
--- a/packages/core/src/failure.ts
+++ b/packages/core/src/failure.ts
@@ -13,7 +13,7 @@
   message: string
 }
 
-export const failureTexts = {
+export const failureDefinitions = {
   unauthenticated: { status: 401, message: 'The bearer token is missing or belongs to no team.' },
   forbidden: { status: 403, message: 'This team may not use what the request names.' },
   unknown_path: { status: 404, message: 'Nothing is served under this path.' },
@@ -47,9 +47,9 @@
   internal: { status: 500, message: 'The process met a fault of its own.' }
 } satisfies Record<string, FailureDefinition>
 
-export type FailureCode = keyof typeof failureTexts
+export type FailureCode = keyof typeof failureDefinitions
 
-const FailureCode = z.enum(Object.keys(failureTexts) as [FailureCode, ...FailureCode[]])
+const FailureCode = z.enum(Object.keys(failureDefinitions) as [FailureCode, ...FailureCode[]])
 
 export const Failure = z.object({
   code: FailureCode,
@@ -68,17 +68,17 @@
 
 export const notRun = (code: FailureCode, details: FailureDetail = {}): Failure => ({ code, outcome: 'not_run', ...details })
 
-export const unknown = (code: FailureCode, details: FailureDetail = {}): Failure => ({ code, outcome: 'unknown', ...details })
+export const outcomeUnknown = (code: FailureCode, details: FailureDetail = {}): Failure => ({ code, outcome: 'unknown', ...details })
 
 /** Converts a refusal from before the key was looked up: this attempt was not run, but an earlier one with its key may have been. */
-export const untried = (failure: Failure): Failure => {
+export const notRunThisAttempt = (failure: Failure): Failure => {
   const detail = `${failure.detail ?? ''} This try was not run; an earlier one with its key may have been.`.trim()
   return { ...failure, outcome: 'unknown', detail }
 }
 
-export const statusOf = (failure: Failure): number => failureTexts[failure.code].status
+export const statusOf = (failure: Failure): number => failureDefinitions[failure.code].status
 
 export const messageOf = (failure: Failure): string => {
-  const text = failureTexts[failure.code].message
+  const text = failureDefinitions[failure.code].message
   return failure.detail === undefined ? text : `${text} ${failure.detail}`
 }
--- a/packages/core/src/finding.ts
+++ b/packages/core/src/finding.ts
@@ -6,7 +6,7 @@
  */
 import type { z } from 'zod'
 
-export const messages = {
+export const findingMessages = {
   invalid_value: (detail: string) => detail,
   invalid_syntax: (detail: string) => `can't be read: ${detail}`,
   duplicate_name: (detail: string) => `${detail} is declared twice`,
@@ -17,7 +17,7 @@
   conflicting_settings: (detail: string) => detail
 } satisfies Record<string, (detail: string) => string>
 
-export type FindingCode = keyof typeof messages
+export type FindingCode = keyof typeof findingMessages
 
 export interface Finding {
   code: FindingCode
@@ -27,7 +27,7 @@
 }
 
 export const finding = (code: FindingCode, path: string, detail: string): Finding =>
-  ({ code, path, message: messages[code](detail) })
+  ({ code, path, message: findingMessages[code](detail) })
 
 const joinPath = (prefix: string, path: PropertyKey[]): string =>
   [prefix, ...path.map(String)].filter(part => part !== '').join('.')
--- a/packages/core/src/line-sink.ts
+++ b/packages/core/src/line-sink.ts
@@ -21,7 +21,7 @@
 /** Long enough to batch many lines into one write, short enough to follow the log live. */
 const flushIntervalMs = 100
 
-export class BoundedLines implements LineSink {
+export class BufferedLineSink implements LineSink {
   #lines: string[] = []
   #bytes = 0
   #dropped = 0
--- a/packages/core/src/log.ts
+++ b/packages/core/src/log.ts
@@ -33,7 +33,7 @@
   }
 
   /** A logger that adds these fields to each line. */
-  with (fields: LogFields): Log {
+  child (fields: LogFields): Log {
     return new Log(this.name, { ...this.fixed, ...fields }, this.level, this.sink)
   }
 
@@ -63,4 +63,4 @@
   }
 }
 
-export const quietLog = new Log('quiet', {}, 'silent')
+export const silentLog = new Log('quiet', {}, 'silent')
--- a/packages/core/src/work.ts
+++ b/packages/core/src/work.ts
@@ -44,13 +44,13 @@
 export const Bytes = z.custom<Uint8Array>(value => value instanceof Uint8Array, 'expected bytes')
 
 /** An HTTP request, detached from its connection. */
-export const Call = z.object({
+export const HttpRequest = z.object({
   method: z.string().max(20),
   path: z.string().max(4000),
   headers: Headers,
   body: Bytes
 })
-export type Call = z.infer<typeof Call>
+export type HttpRequest = z.infer<typeof HttpRequest>
 
 /**
  * The only incarnation that may run the request with a given key. `epoch` counts the key windows of that incarnation: it
@@ -75,27 +75,27 @@
   /** The revision of the configuration against which the target was resolved. */
   revision: Revision,
   target: Target,
-  call: Call,
+  call: HttpRequest,
   /** Present on non-idempotent requests only. */
   once: z.object({ key: RequestKey, binding: Binding }).optional()
 })
 export type Work = z.infer<typeof Work>
 
 /** Status and headers of a response; the body follows in chunks. */
-export interface AnswerHead {
+export interface ResponseHead {
   status: number
   headers: Headers
 }
 
 /** A response body with backpressure. Iterating it throws a `ResponseError` if the body can't be completed. */
-export type AnswerBody = AsyncIterable<Uint8Array>
+export type ResponseBody = AsyncIterable<Uint8Array>
 
-export interface Answer extends AnswerHead {
-  body: AnswerBody
+export interface HttpResponse extends ResponseHead {
+  body: ResponseBody
 }
 
 /** Thrown by a response body that can't be completed. */
-export class AnswerFailure extends Error {
+export class ResponseError extends Error {
   constructor (readonly failure: Failure) {
     super(failure.code)
   }
--- a/packages/core/test/configuration.test.ts
+++ b/packages/core/test/configuration.test.ts
@@ -1,4 +1,4 @@
-import { check, versionOf } from '@finchpitch/core'
+import { validateConfiguration, resolveVersion } from '@finchpitch/core'
 import { expect } from 'chai'
 
 const adapter = { team: 'quetzal', name: 'statement', model: 'base-7b', versions: [{ version: 'v1', source: 'w1' }, { version: 'v2', source: 'w2' }], aliases: { live: 'v2' }, default: 'live' }
@@ -7,11 +7,11 @@
 describe('configuration', () => {
   describe('check', () => {
     it('accepts a valid document', () => {
-      expect(check(document).isOk()).to.equal(true)
+      expect(validateConfiguration(document).isOk()).to.equal(true)
     })
 
     it('reports all errors with their paths', () => {
-      const findings = check({
+      const findings = validateConfiguration({
         ...document,
         services: [{ name: 'ledger', teams: ['nobody'] }],
         adapters: [{ ...adapter, model: 'none', default: 'v9', aliases: { old: 'v0' } }, adapter]
@@ -26,21 +26,21 @@
     })
 
     it('reports unknown fields by name', () => {
-      const findings = check({ ...document, teamz: [] })._unsafeUnwrapErr()
+      const findings = validateConfiguration({ ...document, teamz: [] })._unsafeUnwrapErr()
       expect(findings[0]?.message).to.contain('teamz')
     })
   })
 
   describe('versionOf', () => {
-    const [parsedAdapter] = check(document)._unsafeUnwrap().adapters
+    const [parsedAdapter] = validateConfiguration(document)._unsafeUnwrap().adapters
     if (parsedAdapter === undefined) throw new Error('expected the document to have an adapter')
 
     it('resolves a version, an alias and the default', () => {
-      expect([versionOf(parsedAdapter, 'v1'), versionOf(parsedAdapter, 'live'), versionOf(parsedAdapter, undefined)]).to.deep.equal(['v1', 'v2', 'v2'])
+      expect([resolveVersion(parsedAdapter, 'v1'), resolveVersion(parsedAdapter, 'live'), resolveVersion(parsedAdapter, undefined)]).to.deep.equal(['v1', 'v2', 'v2'])
     })
 
     it('resolves no undeclared version, nor a property inherited from Object.prototype', () => {
-      expect([versionOf(parsedAdapter, 'v9'), versionOf(parsedAdapter, 'constructor')]).to.deep.equal([undefined, undefined])
+      expect([resolveVersion(parsedAdapter, 'v9'), resolveVersion(parsedAdapter, 'constructor')]).to.deep.equal([undefined, undefined])
     })
   })
 })
--- a/packages/daemon/src/catalog-exchange.ts
+++ b/packages/daemon/src/catalog-exchange.ts
@@ -3,8 +3,8 @@
  *
  * A process with a stale configuration catches up from the very peer that announced a newer revision, also while the store is down.
  */
-import { within, type Revision } from '@finchpitch/core'
-import { Head, catchUp, storeFault, type Catalog, type ConfigurationSource, type StoreFault } from '@finchpitch/store'
+import { withTimeout, type Revision } from '@finchpitch/core'
+import { Head, catchUp, storeError, type Catalog, type ConfigurationSource, type StoreError } from '@finchpitch/store'
 import type { Channel, Frame, FrameOf } from '@finchpitch/wire'
 import { err, ok, type Result } from 'neverthrow'
 
@@ -20,14 +20,14 @@
   constructor (private readonly catalog: Catalog, private readonly channel: Channel) {}
 
   /** Handles frames that concern the configuration and ignores all others. */
-  take (frame: Frame): void {
+  handleFrame (frame: Frame): void {
     if (frame.type === 'pull') this.#sendPush(frame)
     else if (frame.type === 'push') this.#pendingPulls.get(frame.id)?.(frame)
-    else if (frame.type === 'heartbeat') this.see(frame.revision)
+    else if (frame.type === 'heartbeat') this.observeRevision(frame.revision)
   }
 
   /** Takes note of the revision that the peer reports, and pulls if it is newer than the local one. */
-  see (revision: Revision): void {
+  observeRevision (revision: Revision): void {
     if (revision > this.catalog.revision) void this.pull()
   }
 
@@ -41,16 +41,16 @@
     this.#pendingPulls.clear()
   }
 
-  async head (): Promise<Result<Head | undefined, StoreFault>> {
+  async head (): Promise<Result<Head | undefined, StoreError>> {
     const push = await this.#request([])
     return push.andThen(({ head }) => {
       if (head === undefined || head === null) return ok(undefined)
       const parsed = Head.safeParse(head)
-      return parsed.success ? ok(parsed.data) : err(storeFault('refused', 'the head that a peer sent is not valid'))
+      return parsed.success ? ok(parsed.data) : err(storeError('refused', 'the head that a peer sent is not valid'))
     })
   }
 
-  async shards (hashes: string[]): Promise<Result<Map<string, string>, StoreFault>> {
+  async shards (hashes: string[]): Promise<Result<Map<string, string>, StoreError>> {
     const texts = new Map<string, string>()
     while (texts.size < hashes.length) {
       const push = await this.#request(hashes.filter(hash => !texts.has(hash)))
@@ -62,13 +62,13 @@
     return ok(texts)
   }
 
-  async #request (shards: string[]): Promise<Result<FrameOf<'push'>, StoreFault>> {
+  async #request (shards: string[]): Promise<Result<FrameOf<'push'>, StoreError>> {
     const id = this.#nextId++
     const received = new Promise<FrameOf<'push'>>(resolve => this.#pendingPulls.set(id, resolve))
     const sent = this.channel.send({ type: 'pull', id, shards })
-    const push = sent ? await within(pullTimeoutMs, received, undefined) : undefined
+    const push = sent ? await withTimeout(pullTimeoutMs, received, undefined) : undefined
     this.#pendingPulls.delete(id)
-    return push === undefined ? err(storeFault('unavailable', 'a peer did not answer a pull in time')) : ok(push)
+    return push === undefined ? err(storeError('unavailable', 'a peer did not answer a pull in time')) : ok(push)
   }
 
   #sendPush ({ id, shards }: FrameOf<'pull'>): void {
--- a/packages/daemon/src/commands/daemon-command.ts
+++ b/packages/daemon/src/commands/daemon-command.ts
@@ -2,12 +2,12 @@
  * Base class of both `finchpitchd` commands: validates settings, sets up the log and shuts down gracefully on SIGTERM and SIGINT.
  */
 import { Command } from '@oclif/core'
-import { BoundedLines, Log, printFindings, type Finding, type LogLevel, type ProcessId } from '@finchpitch/core'
+import { BufferedLineSink, Log, printFindings, type Finding, type LogLevel, type ProcessId } from '@finchpitch/core'
 import type { Result } from 'neverthrow'
-import { invalidSettingsExit } from '../settings.js'
+import { invalidSettingsExitCode } from '../settings.js'
 
 /** A started process, as its command controls it. */
-export interface Running {
+export interface RunningProcess {
   /** Addresses, printed as one line on standard output once all listeners are up, so that a launcher learns the ports. */
   listening: Record<string, string>
   /** Drains the requests in progress, then stops everything. */
@@ -17,19 +17,19 @@
 const stdoutFd = 1
 
 export abstract class DaemonCommand extends Command {
-  readonly #logLines = new BoundedLines(stdoutFd)
+  readonly #logLines = new BufferedLineSink(stdoutFd)
 
   protected settingsOrExit<S> (settings: Result<S, Finding[]>): S {
     if (settings.isOk()) return settings.value
     process.stderr.write(`${printFindings(settings.error)}\n`)
-    this.exit(invalidSettingsExit)
+    this.exit(invalidSettingsExitCode)
   }
 
   protected logFor (role: string, name: ProcessId, level: LogLevel): Log {
     return new Log(role, { role, process: name }, level, this.#logLines)
   }
 
-  protected async runUntilStopped (start: () => Promise<Running>): Promise<void> {
+  protected async runUntilStopped (start: () => Promise<RunningProcess>): Promise<void> {
     const stopRequested = new Promise<void>(resolve => {
       process.once('SIGTERM', resolve)
       process.once('SIGINT', resolve)
--- a/packages/daemon/src/entry/dispatch.ts
+++ b/packages/daemon/src/entry/dispatcher.ts
@@ -6,16 +6,16 @@
  * - A request with an idempotency key is first bound to one incarnation of a side process, and only that one may run it. After a
  *   refusal it may be bound to another one; if several entries do so concurrently, the store's conditional update lets one win.
  */
-import { backoff, notRun, pause, randomToken, servingOf, targetLabel, unknown, type Answer, type Binding, type Failure, type Log, type Random, type Service, type Work } from '@finchpitch/core'
-import type { Once } from '@finchpitch/callers'
+import { backoff, notRun, pause, randomToken, servingOf, targetLabel, outcomeUnknown, type HttpResponse, type Binding, type Failure, type Log, type Random, type Service, type Work } from '@finchpitch/core'
+import type { Idempotency } from '@finchpitch/callers'
 import { RetryBudget } from '@finchpitch/decisions'
-import { claimId, type Catalog, type Claims, type StoreFault } from '@finchpitch/store'
+import { claimId, type Catalog, type Claims, type StoreError } from '@finchpitch/store'
 import { err, ok, type Result } from 'neverthrow'
-import type { ChosenSide, Sides } from './sides.js'
-import { bindingOf, isTicket, issueTicket, readTicket } from './ticket.js'
+import type { ChosenSide, SidePool } from './side-pool.js'
+import { bindingOf, isTicket, issueTicket, parseTicket } from './ticket.js'
 
-export interface DispatchOptions {
-  sides: Sides
+export interface DispatcherOptions {
+  sides: SidePool
   claims: Claims
   catalog: Catalog
   /** Brings the catalog up to date, after a side process has refused a request with a stale revision. */
@@ -25,7 +25,7 @@
 }
 
 /** The response, once its head has arrived, or why there is none. */
-type DispatchResult = Result<Answer, Failure>
+type DispatchResult = Result<HttpResponse, Failure>
 
 const maxAttempts = 4
 const defaultRetryAfterMs = 1000
@@ -41,10 +41,10 @@
 const preferenceKey = ({ id, target }: Pick<Work, 'id' | 'target'>): string =>
   target.kind === 'adapter' ? targetLabel(target) : `${targetLabel(target)}/${id.charAt(0)}`
 
-export class Dispatch {
+export class Dispatcher {
   readonly #retryBudget = new RetryBudget()
 
-  constructor (private readonly options: DispatchOptions) {}
+  constructor (private readonly options: DispatcherOptions) {}
 
   /** Runs a request without an idempotency key. */
   async run (work: Work, repeatable: boolean, signal: AbortSignal): Promise<DispatchResult> {
@@ -63,13 +63,13 @@
   }
 
   /** Runs a request with an idempotency key, at most once over all its attempts. */
-  async runOnce (work: Work, once: Once, signal: AbortSignal): Promise<DispatchResult> {
+  async runOnce (work: Work, once: Idempotency, signal: AbortSignal): Promise<DispatchResult> {
     this.#retryBudget.deposit()
     return isTicket(once.key) ? await this.#runTicket(work, once, signal) : await this.#runClaimed(work, once, signal)
   }
 
   /** Issues a ticket for the request's target; `undefined` while no side process is available. */
-  async ticket (work: Pick<Work, 'id' | 'target'>): Promise<Once['key'] | undefined> {
+  async ticket (work: Pick<Work, 'id' | 'target'>): Promise<Idempotency['key'] | undefined> {
     const side = await this.#selectSide(work, new Set())
     return side === undefined ? undefined : issueTicket(side.process, side.peer.incarnation, side.peer.epoch)
   }
@@ -88,17 +88,17 @@
     return true
   }
 
-  async #runTicket (work: Work, once: Once, signal: AbortSignal): Promise<DispatchResult> {
-    const ticket = readTicket(once.key)
+  async #runTicket (work: Work, once: Idempotency, signal: AbortSignal): Promise<DispatchResult> {
+    const ticket = parseTicket(once.key)
     if (ticket === undefined) return err(notRun('invalid_header', { detail: 'The Idempotency-Key is not a ticket of this system.' }))
     const address = this.options.sides.addressOf(ticket.process)
-    if (address === undefined) return err(unknown('incarnation_gone'))
+    if (address === undefined) return err(outcomeUnknown('incarnation_gone'))
     const answer = await this.#runBound(work, once, bindingOf(ticket, address), signal)
     if (answer.isErr() && answer.error.code === 'stale_revision') await this.options.catchUp()
     return answer
   }
 
-  async #runClaimed (work: Work, once: Once, signal: AbortSignal): Promise<DispatchResult> {
+  async #runClaimed (work: Work, once: Idempotency, signal: AbortSignal): Promise<DispatchResult> {
     const id = claimId(work.team, once.key)
     const tried = new Set<string>()
     const first = await this.#bindFirst(work, id)
@@ -114,7 +114,7 @@
     }
   }
 
-  async #bindFirst (work: Work, id: string): Promise<Result<Binding, StoreFault | Failure>> {
+  async #bindFirst (work: Work, id: string): Promise<Result<Binding, StoreError | Failure>> {
     const bound = await this.#bind(work, id, undefined, new Set())
     if (bound.isOk() || !('outcome' in bound.error)) return bound
     // No side process is available now, but an earlier attempt may have bound the key.
@@ -132,7 +132,7 @@
   }
 
   /** Binds the key to the preferred side process. `from` is the nonce of a binding whose refusal is final, to be replaced. */
-  async #bind (work: Work, id: string, from: string | undefined, tried: ReadonlySet<string>): Promise<Result<Binding, StoreFault | Failure>> {
+  async #bind (work: Work, id: string, from: string | undefined, tried: ReadonlySet<string>): Promise<Result<Binding, StoreError | Failure>> {
     const side = await this.#selectSide(work, tried)
     if (side === undefined) return err(notRun('no_backend', { retryAfterMs: defaultRetryAfterMs }))
     const { process, address, peer } = side
@@ -148,17 +148,17 @@
     const found = await this.options.claims.read(id)
     if (found.isOk() && found.value?.nonce === binding.nonce) return refusal
     const detail = 'Another try of this key may have been run. Ask again with the same key.'
-    return unknown(refusal.code, { detail, retryAfterMs: refusal.retryAfterMs ?? defaultRetryAfterMs })
+    return outcomeUnknown(refusal.code, { detail, retryAfterMs: refusal.retryAfterMs ?? defaultRetryAfterMs })
   }
 
   /** Sends the request to the bound incarnation, which runs a key once; reconnects and repeats it if the connection is lost. */
-  async #runBound (work: Work, once: Once, binding: Binding, signal: AbortSignal): Promise<DispatchResult> {
-    let failure: Failure = unknown('incarnation_gone')
+  async #runBound (work: Work, once: Idempotency, binding: Binding, signal: AbortSignal): Promise<DispatchResult> {
+    let failure: Failure = outcomeUnknown('incarnation_gone')
     for (let failures = 0; failures < maxAttempts && !signal.aborted; failures++) {
       if (failures > 0) await pause(backoff(failures, this.options.random), signal)
       const peer = await this.options.sides.reach(binding.process, binding.address)
       if (peer === undefined) continue
-      if (peer.incarnation !== binding.incarnation) return err(unknown('incarnation_gone'))
+      if (peer.incarnation !== binding.incarnation) return err(outcomeUnknown('incarnation_gone'))
       const bound = { ...work, revision: this.options.catalog.revision, once: { key: once.key, binding } }
       const answer = await peer.run(bound, signal)
       if (answer.isOk()) return answer
@@ -171,16 +171,16 @@
   }
 
   /** The failure of a request whose key could not be bound, because of the store or for lack of a side process. */
-  async #claimFailure (work: Work, once: Once, fault: StoreFault | Failure): Promise<Failure> {
+  async #claimFailure (work: Work, once: Idempotency, fault: StoreError | Failure): Promise<Failure> {
     if (!('outcome' in fault)) return await this.#storeFailure(work, once, fault)
-    return once.firstTry ? fault : unknown(fault.code, { retryAfterMs: defaultRetryAfterMs })
+    return once.firstTry ? fault : outcomeUnknown(fault.code, { retryAfterMs: defaultRetryAfterMs })
   }
 
   /** While the store is down, only a first attempt is known not to have run; for a retry, an earlier attempt may have. */
-  async #storeFailure (work: Work, once: Once, fault: StoreFault): Promise<Failure> {
+  async #storeFailure (work: Work, once: Idempotency, fault: StoreError): Promise<Failure> {
     this.options.log.warn('claim.failed', { request: work.id, fault: fault.code, detail: fault.detail })
     const more = { retryAfterMs: defaultRetryAfterMs }
-    if (!once.firstTry) return unknown('store_unavailable', { ...more, detail: 'This try was not run; an earlier one may have been. Ask again with the same key.' })
+    if (!once.firstTry) return outcomeUnknown('store_unavailable', { ...more, detail: 'This try was not run; an earlier one may have been. Ask again with the same key.' })
     const ticket = this.#serviceOf(work)?.onStoreOutage === 'ticket' ? await this.ticket(work) : undefined
     return notRun('store_unavailable', { ...more, ...(ticket === undefined ? {} : { ticket, detail: 'Ask again with the ticket as the key.' }) })
   }
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -5,16 +5,16 @@
  * serves the configuration to its peers, and watches the store while it is one of the few watchers of its failure domain.
  */
 import type { Duplex } from 'node:stream'
-import { deadlineIn, notRun, pause, untried, type Address, type Answer, type Failure, type FailureDomain, type Incarnation, type Log, type ProcessId, type Random, type Work } from '@finchpitch/core'
-import type { Ask } from '@finchpitch/callers'
-import { Claims, StoreSource, catchUp, defaultBuckets, defaultKeptMs, follow, type Catalog, type Instance, type InstanceList, type ObjectStore } from '@finchpitch/store'
+import { deadlineIn, notRun, pause, notRunThisAttempt, type Address, type HttpResponse, type Failure, type FailureDomain, type Incarnation, type Log, type ProcessId, type Random, type Work } from '@finchpitch/core'
+import type { CallerRequest } from '@finchpitch/callers'
+import { Claims, StoreSource, catchUp, defaultBucketCount, defaultClaimRetentionMs, watchConfiguration, type Catalog, type Instance, type InstanceList, type ObjectStore } from '@finchpitch/store'
 import { Channel, protocolVersion, type Dial, type FrameOf } from '@finchpitch/wire'
 import { err, ok, type Result } from 'neverthrow'
-import { watchInstances } from '../instance-view.js'
-import { keepUplink, readPeer, watchersOf } from '../uplink.js'
-import { Dispatch } from './dispatch.js'
-import { resolve } from './resolve.js'
-import { Sides } from './sides.js'
+import { pollInstances } from '../instance-poll.js'
+import { keepUplink, exchangeConfiguration, selectWatchers } from '../uplink.js'
+import { Dispatcher } from './dispatcher.js'
+import { resolveRequest } from './resolve.js'
+import { SidePool } from './side-pool.js'
 import { TeamLimits } from './team-limits.js'
 
 export interface EntryOptions {
@@ -36,8 +36,8 @@
 const minTimeoutShare = 0.8
 
 export class Entry {
-  readonly sides: Sides
-  readonly #dispatcher: Dispatch
+  readonly sides: SidePool
+  readonly #dispatcher: Dispatcher
   readonly #teamLimits = new TeamLimits()
   readonly #shutdown = new AbortController()
   readonly #uplinkPeers = new Set<Channel>()
@@ -46,10 +46,10 @@
 
   constructor (private readonly options: EntryOptions) {
     const { catalog, dial, log, random, store } = options
-    this.sides = new Sides({ dial, channel: this.#channelOptions, catalog, log, random })
-    const claims = new Claims({ store, random, buckets: defaultBuckets, keptMs: defaultKeptMs })
-    this.#dispatcher = new Dispatch({ sides: this.sides, claims, catalog, catchUp: () => this.catchUp(), log, random })
-    catalog.onMove(() => this.#broadcastRevision())
+    this.sides = new SidePool({ dial, channel: this.#channelOptions, catalog, log, random })
+    const claims = new Claims({ store, random, bucketCount: defaultBucketCount, keptMs: defaultClaimRetentionMs })
+    this.#dispatcher = new Dispatcher({ sides: this.sides, claims, catalog, catchUp: () => this.catchUp(), log, random })
+    catalog.onUpdate(() => this.#broadcastRevision())
   }
 
   get running (): number {
@@ -70,10 +70,10 @@
     const { signal } = this.#shutdown
     const update = (list: Instance[]): void => {
       this.#instances = list
-      this.sides.update(list)
+      this.sides.updateInstances(list)
     }
     await Promise.all([
-      watchInstances({ list: instances, log, random, update, signal }),
+      pollInstances({ list: instances, log, random, onUpdate: update, signal }),
       this.#watchStore(),
       keepUplink({ process, domain, instances: async () => this.#instances, catalog, channel: this.#channelOptions, dial, log, random, signal })
     ])
@@ -83,15 +83,15 @@
   async accept (stream: Duplex): Promise<void> {
     const channel = new Channel(stream, this.#channelOptions)
     this.#uplinkPeers.add(channel)
-    await readPeer(channel, this.options.catalog)
+    await exchangeConfiguration(channel, this.options.catalog)
     this.#uplinkPeers.delete(channel)
   }
 
   /** Serves one request, which is in progress until the response body has been read or abandoned. */
-  async serve (ask: Ask, signal: AbortSignal): Promise<Result<Answer, Failure>> {
-    const resolved = resolve(ask, this.options.catalog)
+  async serve (ask: CallerRequest, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
+    const resolved = resolveRequest(ask, this.options.catalog)
     if (resolved.isErr()) return err(this.#failureBeforeLookup(ask, resolved.error))
-    const release = this.#teamLimits.enter(resolved.value.team)
+    const release = this.#teamLimits.admit(resolved.value.team)
     if (release.isErr()) return err(this.#failureBeforeLookup(ask, release.error))
     const deadline = deadlineIn(ask.patienceMs, signal)
     this.#running += 1
@@ -107,8 +107,8 @@
   }
 
   /** Issues a ticket, an idempotency key that doesn't depend on the store, for the target that `ask` names. */
-  async ticket (ask: Ask): Promise<Result<string, Failure>> {
-    const resolved = resolve(ask, this.options.catalog)
+  async ticket (ask: CallerRequest): Promise<Result<string, Failure>> {
+    const resolved = resolveRequest(ask, this.options.catalog)
     if (resolved.isErr()) return err(resolved.error)
     const ticket = await this.#dispatcher.ticket(resolved.value.work)
     return ticket === undefined ? err(notRun('no_backend', { retryAfterMs: dutyCheckMs })) : ok(ticket)
@@ -117,7 +117,7 @@
   /** Brings the catalog up to date, from the store or, if that fails, from the connected side processes. */
   async catchUp (): Promise<void> {
     const moved = await catchUp(this.options.catalog, new StoreSource(this.options.store))
-    if (moved.isErr()) await Promise.all(this.sides.peers.map(peer => peer.pull()))
+    if (moved.isErr()) await Promise.all(this.sides.openConnections.map(peer => peer.pull()))
   }
 
   close (): void {
@@ -137,18 +137,18 @@
   #broadcastRevision (): void {
     const frame: FrameOf<'heartbeat'> = { type: 'heartbeat', revision: this.options.catalog.revision }
     for (const channel of this.#uplinkPeers) channel.send(frame)
-    this.sides.announce(frame)
+    this.sides.broadcast(frame)
   }
 
-  #run (ask: Ask, work: Work, signal: AbortSignal): Promise<Result<Answer, Failure>> {
+  #run (ask: CallerRequest, work: Work, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
     return ask.once === undefined
       ? this.#dispatcher.run(work, ask.repeatable, signal)
       : this.#dispatcher.runOnce(work, ask.once, signal)
   }
 
   /** Adapts a failure that precedes the lookup of the idempotency key: only a first attempt is then known not to have run. */
-  #failureBeforeLookup (ask: Ask, failure: Failure): Failure {
-    return ask.once === undefined || ask.once.firstTry ? failure : untried(failure)
+  #failureBeforeLookup (ask: CallerRequest, failure: Failure): Failure {
+    return ask.once === undefined || ask.once.firstTry ? failure : notRunThisAttempt(failure)
   }
 
   /** Watches the store while this entry is one of the watchers of its failure domain, or knows of none. */
@@ -157,7 +157,7 @@
     while (!this.#shutdown.signal.aborted) {
       if (this.#isWatcher()) {
         const duty = new AbortController()
-        const watching = follow({ store, catalog, log, random, signal: duty.signal })
+        const watching = watchConfiguration({ store, catalog, log, random, signal: duty.signal })
         while (this.#isWatcher() && !this.#shutdown.signal.aborted) await pause(dutyCheckMs, this.#shutdown.signal)
         duty.abort()
         await watching
@@ -167,7 +167,7 @@
   }
 
   #isWatcher (): boolean {
-    const watchers = watchersOf(this.#instances, this.options.domain)
+    const watchers = selectWatchers(this.#instances, this.options.domain)
     return watchers.length === 0 || watchers.some(each => each.process === this.options.process)
   }
 }
--- a/packages/daemon/src/entry/side-peer.ts
+++ b/packages/daemon/src/entry/side-connection.ts
@@ -1,32 +1,32 @@
 /**
  * An entry's connection to one side process: a channel, the requests multiplexed on it, and the last reported load.
  */
-import { noRevision, notRun, unknown, pause, within, type Address, type Answer, type Failure, type Incarnation, type Log, type Revision, type Work } from '@finchpitch/core'
+import { noRevision, notRun, outcomeUnknown, pause, withTimeout, type Address, type HttpResponse, type Failure, type Incarnation, type Log, type Revision, type Work } from '@finchpitch/core'
 import type { Occupancy } from '@finchpitch/decisions'
 import type { Catalog } from '@finchpitch/store'
-import { Channel, Inbox, type ChannelOptions, type Dial, type Frame, type FrameOf, type Load } from '@finchpitch/wire'
+import { Channel, ReceiveBuffer, type ChannelOptions, type Dial, type Frame, type FrameOf, type LoadReport } from '@finchpitch/wire'
 import { err, ok, type Result } from 'neverthrow'
 import { CatalogExchange } from '../catalog-exchange.js'
 
 const helloTimeoutMs = 1000
 /** A channel without requests is closed after this time: in a large system, most pairs of entry and side process rarely talk. */
-export const idleMs = 60_000
+export const idleTimeoutMs = 60_000
 
 interface PendingRequest {
-  inbox: Inbox
+  inbox: ReceiveBuffer
   head: (head: Result<FrameOf<'head'>, Failure>) => void
 }
 
-export interface SideAnswer extends Answer {
+export interface SideAnswer extends HttpResponse {
   /** Whether the adapter was already loaded when the request arrived; always true for a plain service. */
   resident: boolean
 }
 
-export class SidePeer {
+export class SideConnection {
   readonly #pending = new Map<number, PendingRequest>()
   readonly #configuration: CatalogExchange
   #nextId = 0
-  #load: Load | undefined
+  #load: LoadReport | undefined
   #sentSinceReport = 0
   #revision = noRevision
   #lastUsedAt = Date.now()
@@ -36,12 +36,12 @@
   }
 
   /** Opens a channel and waits for the peer's hello. `undefined` if the peer can't be reached or doesn't send one in time. */
-  static async connect (dial: Dial, address: Address, options: ChannelOptions, catalog: Catalog, log: Log): Promise<SidePeer | undefined> {
+  static async connect (dial: Dial, address: Address, options: ChannelOptions, catalog: Catalog, log: Log): Promise<SideConnection | undefined> {
     try {
       const channel = new Channel(await dial(address), options)
-      const peer = new SidePeer(channel, catalog, log)
+      const peer = new SideConnection(channel, catalog, log)
       void peer.#readFrames()
-      if (!await within(helloTimeoutMs, channel.greeted, false)) {
+      if (!await withTimeout(helloTimeoutMs, channel.helloReceived, false)) {
         channel.close()
         return undefined
       }
@@ -76,7 +76,7 @@
     return this.#revision
   }
 
-  get load (): Load | undefined {
+  get load (): LoadReport | undefined {
     return this.#load
   }
 
@@ -94,7 +94,7 @@
     if (signal.aborted) return err(notRun('not_sent', { detail: 'The caller no longer waits.' }))
     const id = this.#nextId++
     this.#lastUsedAt = Date.now()
-    const inbox = new Inbox(bytes => this.channel.send({ type: 'credit', id, bytes }))
+    const inbox = new ReceiveBuffer(bytes => this.channel.send({ type: 'credit', id, bytes }))
     const head = await new Promise<Result<FrameOf<'head'>, Failure>>(resolve => {
       this.#pending.set(id, { inbox, head: resolve })
       signal.addEventListener('abort', () => this.#cancel(id), { once: true })
@@ -108,7 +108,7 @@
     return this.#configuration.pull()
   }
 
-  heartbeat (frame: FrameOf<'heartbeat'>): void {
+  sendHeartbeat (frame: FrameOf<'heartbeat'>): void {
     this.channel.send(frame)
   }
 
@@ -116,7 +116,7 @@
     this.channel.close()
   }
 
-  async * #readBody (id: number, inbox: Inbox): AsyncGenerator<Uint8Array> {
+  async * #readBody (id: number, inbox: ReceiveBuffer): AsyncGenerator<Uint8Array> {
     try {
       yield * inbox.read()
     } finally {
@@ -128,7 +128,7 @@
   #cancel (id: number): void {
     if (!this.#pending.has(id)) return
     this.channel.send({ type: 'cancel', id })
-    this.#failRequest(id, unknown('cancelled'))
+    this.#failRequest(id, outcomeUnknown('cancelled'))
   }
 
   #failRequest (id: number, failure: Failure): void {
@@ -140,12 +140,12 @@
 
   async #readFrames (): Promise<void> {
     for await (const frame of this.channel.frames()) this.#handleFrame(frame)
-    for (const id of [...this.#pending.keys()]) this.#failRequest(id, unknown('connection_lost'))
+    for (const id of [...this.#pending.keys()]) this.#failRequest(id, outcomeUnknown('connection_lost'))
     this.#configuration.close()
     this.log.debug('side.channel_ended', { ...await this.channel.ended })
   }
 
-  #updateLoad (load: Load | undefined): void {
+  #updateLoad (load: LoadReport | undefined): void {
     if (load === undefined) return
     this.#load = load
     this.#sentSinceReport = 0
@@ -153,12 +153,12 @@
 
   #updateRevision (revision: Revision): void {
     this.#revision = revision
-    this.#configuration.see(revision)
+    this.#configuration.observeRevision(revision)
   }
 
   #handleFrame (frame: Frame): void {
     if (frame.type === 'head') this.#pending.get(frame.id)?.head(ok(frame))
-    else if (frame.type === 'chunk') this.#pending.get(frame.id)?.inbox.chunk(frame)
+    else if (frame.type === 'chunk') this.#pending.get(frame.id)?.inbox.addChunk(frame)
     else if (frame.type === 'end') this.#handleEnd(frame)
     else if (frame.type === 'failure') this.#handleFailure(frame)
     else this.#handleUpdate(frame)
@@ -180,14 +180,14 @@
       this.#updateLoad(frame.load)
       this.#updateRevision(frame.revision)
     } else {
-      this.#configuration.take(frame)
+      this.#configuration.handleFrame(frame)
     }
   }
 
   async #closeWhenIdle (): Promise<void> {
     while (this.channel.open) {
-      await Promise.race([pause(idleMs / 2), this.channel.ended])
-      if (this.#pending.size === 0 && Date.now() - this.#lastUsedAt > idleMs) this.channel.close()
+      await Promise.race([pause(idleTimeoutMs / 2), this.channel.ended])
+      if (this.#pending.size === 0 && Date.now() - this.#lastUsedAt > idleTimeoutMs) this.channel.close()
     }
   }
 }
--- a/packages/daemon/src/entry/sides.ts
+++ b/packages/daemon/src/entry/side-pool.ts
@@ -9,9 +9,9 @@
 import { type Catalog, type Instance } from '@finchpitch/store'
 import type { ChannelOptions, Dial, FrameOf } from '@finchpitch/wire'
 import { LRUCache } from 'lru-cache'
-import { SidePeer } from './side-peer.js'
+import { SideConnection } from './side-connection.js'
 
-export interface SidesOptions {
+export interface SidePoolOptions {
   dial: Dial
   channel: ChannelOptions
   catalog: Catalog
@@ -21,8 +21,8 @@
 
 interface KnownSide {
   instance: Instance
-  peer: SidePeer | undefined
-  connecting: Promise<SidePeer | undefined> | undefined
+  peer: SideConnection | undefined
+  connecting: Promise<SideConnection | undefined> | undefined
   failures: number
   /** Backoff: no connection attempt before this time. */
   retryAt: number
@@ -34,7 +34,7 @@
 
 const emptyOccupancy: Occupancy = { reportedRequests: 0, sentSinceReport: 0, capacity: 1 }
 
-export interface SideState {
+export interface SideStatus {
   revision?: Revision
   leaving?: boolean
   waiting?: number
@@ -44,18 +44,18 @@
 export interface ChosenSide {
   process: ProcessId
   address: Address
-  peer: SidePeer
+  peer: SideConnection
 }
 
-export class Sides {
+export class SidePool {
   readonly #known = new Map<string, KnownSide>()
   readonly #byServing = new Map<string, Array<HashedCandidate<Instance>>>()
   readonly #candidateLists = new LRUCache<string, Instance[]>({ max: maxCachedLists })
 
-  constructor (private readonly options: SidesOptions) {}
+  constructor (private readonly options: SidePoolOptions) {}
 
   /** Applies a new instance list. */
-  update (instances: Instance[]): void {
+  updateInstances (instances: Instance[]): void {
     const sides = instances.filter(instance => instance.role === 'side' && instance.serving !== undefined)
     const present = new Set(sides.map(each => each.process as string))
     for (const process of this.#known.keys()) {
@@ -86,7 +86,7 @@
   }
 
   /** Connects to a process, or reuses its open connection; `undefined` during backoff or if it is not in the instance list. */
-  async connect (process: ProcessId): Promise<SidePeer | undefined> {
+  async connect (process: ProcessId): Promise<SideConnection | undefined> {
     const side = this.#known.get(process)
     if (side === undefined) return undefined
     if (side.peer?.open === true) return side.peer
@@ -96,24 +96,24 @@
   }
 
   /** Connects to a process at an address that may not be in the instance list any more, or not yet. */
-  async reach (process: ProcessId, address: Address): Promise<SidePeer | undefined> {
+  async reach (process: ProcessId, address: Address): Promise<SideConnection | undefined> {
     const side = this.#known.get(process)
     if (side?.peer?.open === true && side.instance.address === address) return side.peer
     const { dial, channel, catalog, log } = this.options
-    return await SidePeer.connect(dial, address, channel, catalog, log)
+    return await SideConnection.connect(dial, address, channel, catalog, log)
   }
 
   /** All open connections. */
-  get peers (): SidePeer[] {
+  get openConnections (): SideConnection[] {
     return [...this.#known.values()].flatMap(({ peer }) => peer?.open === true ? [peer] : [])
   }
 
-  announce (frame: FrameOf<'heartbeat'>): void {
-    for (const peer of this.peers) peer.heartbeat(frame)
+  broadcast (frame: FrameOf<'heartbeat'>): void {
+    for (const peer of this.openConnections) peer.sendHeartbeat(frame)
   }
 
   /** The last status that a process reported; empty without an open connection to it. */
-  stateOf (process: ProcessId): SideState {
+  statusOf (process: ProcessId): SideStatus {
     const peer = this.#known.get(process)?.peer
     if (peer?.open !== true) return {}
     const { load, revision } = peer
@@ -121,7 +121,7 @@
   }
 
   close (): void {
-    for (const peer of this.peers) peer.close()
+    for (const peer of this.openConnections) peer.close()
   }
 
   #upsert (instance: Instance): void {
@@ -160,9 +160,9 @@
     return Date.now() >= side.retryAt
   }
 
-  async #connect (side: KnownSide): Promise<SidePeer | undefined> {
+  async #connect (side: KnownSide): Promise<SideConnection | undefined> {
     const { dial, channel, catalog, log, random } = this.options
-    side.peer = await SidePeer.connect(dial, side.instance.address, channel, catalog, log)
+    side.peer = await SideConnection.connect(dial, side.instance.address, channel, catalog, log)
     side.failures = side.peer === undefined ? side.failures + 1 : 0
     side.retryAt = side.peer === undefined ? Date.now() + backoff(side.failures, random) : 0
     return side.peer
--- a/packages/daemon/src/entry/team-limits.ts
+++ b/packages/daemon/src/entry/team-limits.ts
@@ -18,7 +18,7 @@
   readonly #teams = new Map<string, TeamState>()
 
   /** Admits one request, or refuses it with a retry hint. The returned function ends the request; further calls do nothing. */
-  enter (team: Team): Result<() => void, Failure> {
+  admit (team: Team): Result<() => void, Failure> {
     const state = this.#stateOf(team)
     if (state.running >= team.limits.concurrency) {
       return err(notRun('team_limit', { detail: `${team.limits.concurrency} requests are in progress.`, retryAfterMs: concurrencyRetryAfterMs }))
--- a/packages/daemon/src/entry/ticket.ts
+++ b/packages/daemon/src/entry/ticket.ts
@@ -32,7 +32,7 @@
 export const isTicket = (key: RequestKey): boolean => key.startsWith(prefix + separator)
 
 /** `undefined` for a key that has the prefix of a ticket but is not a valid one. */
-export const readTicket = (key: RequestKey): Ticket | undefined => {
+export const parseTicket = (key: RequestKey): Ticket | undefined => {
   const parsed = TicketParts.safeParse(key.split(separator))
   if (!parsed.success) return undefined
   const [, process, incarnation, epoch, nonce] = parsed.data
--- a/packages/daemon/src/instance-view.ts
+++ b/packages/daemon/src/instance-poll.ts
@@ -6,26 +6,26 @@
 
 const pollIntervalMs = 2000
 
-export interface InstanceViewOptions {
+export interface InstancePollOptions {
   list: InstanceList
   log: Log
   random: Random
   /** Called with the list after each successful read. */
-  update: (instances: Instance[]) => void
+  onUpdate: (instances: Instance[]) => void
   signal: AbortSignal
 }
 
-export const readInstances = async ({ list, log, update }: Omit<InstanceViewOptions, 'signal' | 'random'>): Promise<void> => {
+export const pollInstancesOnce = async ({ list, log, onUpdate: update }: Omit<InstancePollOptions, 'signal' | 'random'>): Promise<void> => {
   const instances = await list.read()
   if (instances.isOk()) update(instances.value)
   else log.warn('instances.unread', { fault: instances.error.code, detail: instances.error.detail })
 }
 
 /** Polls until `signal` aborts. While the list can't be read, the last one stays in use. */
-export const watchInstances = async (options: InstanceViewOptions): Promise<void> => {
+export const pollInstances = async (options: InstancePollOptions): Promise<void> => {
   const { random, signal } = options
   while (!signal.aborted) {
-    await readInstances(options)
+    await pollInstancesOnce(options)
     await pause(pollIntervalMs * (0.75 + random() / 2), signal)
   }
 }
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -9,7 +9,7 @@
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
 
-export const invalidSettingsExit = 2
+export const invalidSettingsExitCode = 2
 
 const port = z.coerce.number().int().min(0).max(65535)
 const milliseconds = z.coerce.number().int().nonnegative().max(24 * 60 * 60 * 1000)
--- a/packages/daemon/src/side/slots.ts
+++ b/packages/daemon/src/side/adapter-slots.ts
@@ -10,7 +10,7 @@
 import type { Engine } from '@finchpitch/backend'
 import { err, ok, type Result } from 'neverthrow'
 
-export interface SlotsOptions {
+export interface AdapterSlotsOptions {
   engine: Engine
   fence: number
   slots: number
@@ -20,7 +20,7 @@
   leftovers: readonly string[]
 }
 
-export interface Demand {
+export interface PinRequest {
   label: string
   source: string
   class: WorkClass
@@ -39,7 +39,7 @@
   loadMs: number
 }
 
-interface Waiter extends Demand {
+interface Waiter extends PinRequest {
   settle: (result: Result<Pin, Failure>) => void
 }
 
@@ -55,7 +55,7 @@
 /** Cost of a waiting request by class, for choosing the next load. */
 const classWeights: Record<WorkClass, number> = { desk: 8, caller: 4, batch: 1 }
 
-export class Slots {
+export class AdapterSlots {
   readonly #slots = new Map<string, Slot>()
   readonly #waiters = new Map<string, Waiter[]>()
   readonly #popularity = new Map<string, Popularity>()
@@ -66,7 +66,7 @@
   /** Something changed while a slot was being freed or loaded, so the next load has to be chosen again. */
   #changed = false
 
-  constructor (private readonly options: SlotsOptions) {
+  constructor (private readonly options: AdapterSlotsOptions) {
     this.#leftovers = new Set(options.leftovers)
   }
 
@@ -74,12 +74,12 @@
     return [...this.#slots.keys()]
   }
 
-  holds (label: string): boolean {
+  isLoaded (label: string): boolean {
     return this.#slots.has(label)
   }
 
   /** Waits until the adapter version is loaded, and protects it from eviction until the pin is released. */
-  pin (demand: Demand, signal: AbortSignal): Promise<Result<Pin, Failure>> {
+  pin (demand: PinRequest, signal: AbortSignal): Promise<Result<Pin, Failure>> {
     this.#recordUse(demand.label)
     const slot = this.#slots.get(demand.label)
     if (slot !== undefined) return Promise.resolve(ok(this.#createPin(demand.label, slot)))
@@ -115,7 +115,7 @@
   }
 
   /** The engine has restarted, with the boot id `boot` and no adapters loaded. */
-  restarted (boot: string): void {
+  handleRestart (boot: string): void {
     this.#leftovers.clear()
     for (const [label, slot] of this.#slots) {
       if (slot.boot !== boot) this.#slots.delete(label)
@@ -130,7 +130,7 @@
     this.#popularity.set(label, popularity)
   }
 
-  #enqueue (demand: Demand, signal: AbortSignal): Promise<Result<Pin, Failure>> {
+  #enqueue (demand: PinRequest, signal: AbortSignal): Promise<Result<Pin, Failure>> {
     return new Promise(resolve => {
       const abandon = (failure: Failure): void => {
         const others = (this.#waiters.get(demand.label) ?? []).filter(each => each !== waiter)
@@ -227,7 +227,7 @@
 }
 
 /** Polls the engine's boot id until `signal` aborts, so that a restart is detected even while no request runs. */
-export const watchBoot = async (engine: Engine, intervalMs: number, signal: AbortSignal, onBoot: (boot: string) => void): Promise<void> => {
+export const pollBootId = async (engine: Engine, intervalMs: number, signal: AbortSignal, onBoot: (boot: string) => void): Promise<void> => {
   while (!signal.aborted) {
     const report = await engine.report()
     if (report.isOk()) onBoot(report.value.boot)
--- a/packages/daemon/src/side/gate.ts
+++ b/packages/daemon/src/side/admission-queue.ts
@@ -4,32 +4,32 @@
  * A request that can't be served within its caller's time-out is refused at once, so that it can be sent to another process.
  */
 import { notRun, type Failure, type Work } from '@finchpitch/core'
-import { MovingAverage, TeamUsage, precedes, type QueuedRequest } from '@finchpitch/decisions'
+import { MovingAverage, TeamUsage, precedes, type QueuedWork } from '@finchpitch/decisions'
 import { err, ok, type Result } from 'neverthrow'
 
-export interface GateOptions {
+export interface AdmissionQueueOptions {
   capacity: number
-  maxWaiting: number
+  maxQueued: number
   /** The weight of a team by the configuration. */
   weightOf: (team: string) => number
 }
 
-export const defaultMaxWaiting = 1000
+export const defaultMaxQueued = 1000
 const initialServiceMs = 200
 
 export type Release = () => void
 
-interface Waiter extends QueuedRequest {
+interface Waiter extends QueuedWork {
   admit: () => void
 }
 
-export class Gate {
+export class AdmissionQueue {
   #running = 0
   readonly #queue: Waiter[] = []
   readonly #usage = new TeamUsage()
   readonly #serviceMs = new MovingAverage(initialServiceMs)
 
-  constructor (private readonly options: GateOptions) {}
+  constructor (private readonly options: AdmissionQueueOptions) {}
 
   get running (): number {
     return this.#running
@@ -55,14 +55,14 @@
   }
 
   /** The failure of a request that has to be refused now, if any; checked before anything else is done for it. */
-  refusal (work: Work): Failure | undefined {
+  overloadFailure (work: Work): Failure | undefined {
     const waitMs = this.expectedWaitMs
-    if (waitMs <= work.patienceMs && this.#queue.length < this.options.maxWaiting) return undefined
+    if (waitMs <= work.patienceMs && this.#queue.length < this.options.maxQueued) return undefined
     return notRun('overloaded', { retryAfterMs: Math.max(100, waitMs - work.patienceMs) })
   }
 
   /** Queues a request until it may run. The returned function has to be called when it ends; further calls do nothing. */
-  async enter (work: Work, deadline: number, signal: AbortSignal): Promise<Result<Release, Failure>> {
+  async admit (work: Work, deadline: number, signal: AbortSignal): Promise<Result<Release, Failure>> {
     if (signal.aborted) return err(notRun('cancelled'))
     const enqueuedAt = Date.now()
     const admitted = await new Promise<boolean>(resolve => {
--- a/packages/daemon/src/side/exchange.ts
+++ b/packages/daemon/src/side/exchange.ts
@@ -1,8 +1,8 @@
 /**
  * Sends one response over a channel, with credit-based flow control: no faster than the receiver reads it.
  */
-import { AnswerFailure, unknown, type Answer, type Failure } from '@finchpitch/core'
-import { Window, type Channel, type Load } from '@finchpitch/wire'
+import { ResponseError, outcomeUnknown, type HttpResponse, type Failure } from '@finchpitch/core'
+import { SendWindow, type Channel, type LoadReport } from '@finchpitch/wire'
 import type { Result } from 'neverthrow'
 
 /** Larger parts of a body are split, to keep every frame far below the frame limit. */
@@ -11,11 +11,11 @@
 export interface ExchangeOptions {
   id: number
   channel: Channel
-  load: () => Load
+  load: () => LoadReport
 }
 
 export class Exchange {
-  readonly window = new Window()
+  readonly window = new SendWindow()
   readonly #abort = new AbortController()
 
   constructor (private readonly options: ExchangeOptions) {}
@@ -30,7 +30,7 @@
     this.window.close()
   }
 
-  async send (answer: Result<Answer, Failure>, resident: boolean): Promise<void> {
+  async send (answer: Result<HttpResponse, Failure>, resident: boolean): Promise<void> {
     if (answer.isErr()) return this.#sendFailure(answer.error)
     const { id, channel } = this.options
     const { status, headers, body } = answer.value
@@ -38,7 +38,7 @@
     try {
       await this.#sendBody(body)
     } catch (error) {
-      this.#sendFailure(error instanceof AnswerFailure ? error.failure : unknown('internal', { detail: (error as Error).message }))
+      this.#sendFailure(error instanceof ResponseError ? error.failure : outcomeUnknown('internal', { detail: (error as Error).message }))
     }
   }
 
@@ -54,7 +54,7 @@
     for await (const part of body) {
       for (let offset = 0; offset < part.length; offset += maxChunkBytes) {
         const data = part.subarray(offset, offset + maxChunkBytes)
-        if (!await this.window.take(data.length) || !channel.open) return
+        if (!await this.window.consume(data.length) || !channel.open) return
         channel.send({ type: 'chunk', id, sequence: chunks, data })
         chunks += 1
         bytes += data.length
--- a/packages/daemon/src/side/executions.ts
+++ b/packages/daemon/src/side/idempotency-records.ts
@@ -10,11 +10,11 @@
  * only makes an epoch longer.
  */
 import { createHash } from 'node:crypto'
-import { notRun, unknown, type Answer, type Failure, type Incarnation, type Work } from '@finchpitch/core'
+import { notRun, outcomeUnknown, type HttpResponse, type Failure, type Incarnation, type Work } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
 import { KeptAnswer } from './kept-answer.js'
 
-export interface ExecutionsOptions {
+export interface IdempotencyRecordsOptions {
   incarnation: Incarnation
   /** Keys remembered in one epoch. Requests with further keys are not run, and fail as `unknown` with `keys_full`. */
   maxKeys: number
@@ -24,7 +24,7 @@
   maxKeptBytes: number
 }
 
-export const defaultLimits = {
+export const defaultIdempotencyLimits = {
   maxKeys: 100_000,
   maxAnswerBytes: 1024 * 1024,
   maxKeptBytes: 64 * 1024 * 1024
@@ -33,7 +33,7 @@
 type Once = NonNullable<Work['once']>
 
 /** Runs the request. An error is either a refusal, which proves that it has not run, or a failure with an unknown outcome. */
-export type Start = () => Promise<Result<Answer, Failure>>
+export type StartExecution = () => Promise<Result<HttpResponse, Failure>>
 
 interface ExecutionRecord {
   fingerprint: string
@@ -44,21 +44,21 @@
 const fingerprintOf = ({ call, target }: Work): string =>
   createHash('sha256').update(JSON.stringify([target, call.method, call.path])).update(call.body).digest('base64url')
 
-export class Executions {
+export class IdempotencyRecords {
   #epoch = 0
   #current = new Map<string, ExecutionRecord>()
   #previous = new Map<string, ExecutionRecord>()
   readonly #keptAnswers = new Set<KeptAnswer>()
   #keptBytes = 0
 
-  constructor (private readonly options: ExecutionsOptions) {}
+  constructor (private readonly options: IdempotencyRecordsOptions) {}
 
   get epoch (): number {
     return this.#epoch
   }
 
   /** Begins the next epoch. Keys of the current one stay; those of the previous one are forgotten. */
-  advance (): void {
+  advanceEpoch (): void {
     this.#epoch += 1
     for (const { kept } of this.#previous.values()) this.#discard(kept)
     this.#previous = this.#current
@@ -74,7 +74,7 @@
   }
 
   /** Runs `start` for the first attempt with a binding; every other attempt gets the result of that run. */
-  async run (work: Work, once: Once, start: Start): Promise<Result<Answer, Failure>> {
+  async run (work: Work, once: Once, start: StartExecution): Promise<Result<HttpResponse, Failure>> {
     const refusal = this.#checkBinding(once)
     if (refusal !== undefined) return err(refusal)
     const id = `${work.team} ${once.binding.nonce}`
@@ -83,23 +83,23 @@
     if (existing !== undefined && existing.fingerprint !== fingerprint) return err(notRun('key_reused'))
     if (existing === undefined && this.#current.size >= this.options.maxKeys) {
       // Without a record, a later attempt with this binding could still run, so `not_run` would be a false promise.
-      return err(unknown('keys_full', { retryAfterMs: 1000, detail: 'Ask again with the same key.' }))
+      return err(outcomeUnknown('keys_full', { retryAfterMs: 1000, detail: 'Ask again with the same key.' }))
     }
     const record = existing ?? this.#createRecord(id, fingerprint, start)
     const answer = await record.answer
     if (answer.isErr()) return err(answer.error)
     const body = answer.value.read(existing === undefined)
-    return body === undefined ? err(unknown('answer_expired')) : ok({ ...answer.value.head, body })
+    return body === undefined ? err(outcomeUnknown('answer_expired')) : ok({ ...answer.value.head, body })
   }
 
   #checkBinding ({ binding }: Once): Failure | undefined {
-    if (binding.incarnation !== this.options.incarnation) return unknown('incarnation_gone')
-    if (binding.epoch < this.#epoch - 1) return unknown('answer_expired')
-    if (binding.epoch > this.#epoch) return unknown('internal', { detail: 'The binding is from an epoch to come.' })
+    if (binding.incarnation !== this.options.incarnation) return outcomeUnknown('incarnation_gone')
+    if (binding.epoch < this.#epoch - 1) return outcomeUnknown('answer_expired')
+    if (binding.epoch > this.#epoch) return outcomeUnknown('internal', { detail: 'The binding is from an epoch to come.' })
     return undefined
   }
 
-  #createRecord (id: string, fingerprint: string, start: Start): ExecutionRecord {
+  #createRecord (id: string, fingerprint: string, start: StartExecution): ExecutionRecord {
     const answer = this.#execute(start)
     const record: ExecutionRecord = { fingerprint, answer, kept: undefined }
     void answer.then(result => { record.kept = result.unwrapOr(undefined) })
@@ -107,16 +107,16 @@
     return record
   }
 
-  async #execute (start: Start): Promise<Result<KeptAnswer, Failure>> {
+  async #execute (start: StartExecution): Promise<Result<KeptAnswer, Failure>> {
     try {
       const result = await start()
       return result.map(answer => this.#keep(answer))
     } catch (error) {
-      return err(unknown('internal', { detail: (error as Error).message }))
+      return err(outcomeUnknown('internal', { detail: (error as Error).message }))
     }
   }
 
-  #keep (answer: Answer): KeptAnswer {
+  #keep (answer: HttpResponse): KeptAnswer {
     const kept = new KeptAnswer(answer, this.options.maxAnswerBytes, bytes => this.#charge(bytes))
     this.#keptAnswers.add(kept)
     return kept
@@ -132,7 +132,7 @@
 
   /** Discards the bytes of a response that is complete; one still being read stays. */
   #discard (kept: KeptAnswer | undefined): void {
-    if (kept?.finished !== true || !this.#keptAnswers.delete(kept)) return
-    this.#keptBytes -= kept.drop()
+    if (kept?.isComplete !== true || !this.#keptAnswers.delete(kept)) return
+    this.#keptBytes -= kept.discard()
   }
 }
--- a/packages/daemon/src/side/kept-answer.ts
+++ b/packages/daemon/src/side/kept-answer.ts
@@ -5,10 +5,10 @@
  * Beyond the size limit it is no longer kept: only the first reader, the owner, gets it whole, and the backend server is read no
  * faster than the owner reads.
  */
-import { AnswerFailure, unknown, type Answer, type AnswerHead, type Failure } from '@finchpitch/core'
+import { ResponseError, outcomeUnknown, type HttpResponse, type ResponseHead, type Failure } from '@finchpitch/core'
 
 export class KeptAnswer {
-  readonly head: AnswerHead
+  readonly head: ResponseHead
   #chunks: Uint8Array[] = []
   #bytes = 0
   #firstIndex = 0
@@ -19,12 +19,12 @@
   #ownerReads = false
   readonly #waiters = new Set<() => void>()
 
-  constructor (answer: Answer, private readonly limit: number, private readonly charge: (bytes: number) => void) {
+  constructor (answer: HttpResponse, private readonly limit: number, private readonly charge: (bytes: number) => void) {
     this.head = { status: answer.status, headers: answer.headers }
     void this.#readAll(answer.body)
   }
 
-  get finished (): boolean {
+  get isComplete (): boolean {
     return this.#finished
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** Discards the chunks and returns how many bytes that frees. */
-  drop (): number {
+  discard (): number {
     this.#dropped = true
     this.#chunks = []
     const freed = this.#bytes
@@ -53,7 +53,7 @@
         while (this.#bytes > this.limit) await this.#dropRead()
       }
     } catch (error) {
-      this.#failure = error instanceof AnswerFailure ? error.failure : unknown('answer_cut', { detail: (error as Error).message })
+      this.#failure = error instanceof ResponseError ? error.failure : outcomeUnknown('answer_cut', { detail: (error as Error).message })
     }
     this.#finished = true
     this.#notify()
@@ -73,7 +73,7 @@
     if (owner) this.#ownerReads = true
     try {
       for (let index = 0; ;) {
-        if (index < this.#firstIndex || this.#dropped) throw new AnswerFailure(unknown('answer_expired'))
+        if (index < this.#firstIndex || this.#dropped) throw new ResponseError(outcomeUnknown('answer_expired'))
         const chunk = this.#chunks[index - this.#firstIndex]
         if (chunk !== undefined) {
           index += 1
@@ -81,7 +81,7 @@
           if (owner) this.#ownerIndex = index
           if (owner) this.#notify()
         } else if (this.#failure !== undefined) {
-          throw new AnswerFailure(this.#failure)
+          throw new ResponseError(this.#failure)
         } else if (this.#finished) {
           return
         } else {
--- a/packages/daemon/src/side/runner.ts
+++ b/packages/daemon/src/side/runner.ts
@@ -3,18 +3,18 @@
  *
  * `start` fails with the outcome `not_run` only where it is proved that the backend server hasn't run the request, else `unknown`.
  */
-import { adapterLabel, backoff, notRun, pause, unknown, type AdapterTarget, type Answer, type AnswerBody, type Failure, type Log, type ModelName, type Random, type Work } from '@finchpitch/core'
-import { PrefixCache, type BackendFault, type Engine, type EngineReport, type PlainService } from '@finchpitch/backend'
+import { adapterLabel, backoff, notRun, pause, outcomeUnknown, type AdapterTarget, type HttpResponse, type ResponseBody, type Failure, type Log, type ModelName, type Random, type Work } from '@finchpitch/core'
+import { PrefixCacheMirror, type BackendError, type Engine, type EngineReport, type PlainService } from '@finchpitch/backend'
 import { type Catalog } from '@finchpitch/store'
 import { err, ok, type Result } from 'neverthrow'
-import { Gate, defaultMaxWaiting, type Release } from './gate.js'
-import { Slots, watchBoot, type Pin } from './slots.js'
+import { AdmissionQueue, defaultMaxQueued, type Release } from './admission-queue.js'
+import { AdapterSlots, pollBootId, type Pin } from './adapter-slots.js'
 
 export interface Runner {
-  readonly gate: Gate
+  readonly queue: AdmissionQueue
   /** The failure of a request that has to be refused now, if any; checked before anything is recorded or sent. */
-  refusal: (work: Work) => Failure | undefined
-  start: (work: Work, signal: AbortSignal) => Promise<Result<Answer, Failure>>
+  refusalOf: (work: Work) => Failure | undefined
+  start: (work: Work, signal: AbortSignal) => Promise<Result<HttpResponse, Failure>>
   /** Whether the request could start without loading an adapter first. */
   resident: (work: Work) => boolean
   /** Runs the background tasks until `signal` aborts. */
@@ -22,7 +22,7 @@
 }
 
 /** Calls `done` once: with `true` when the body was read to its end, with `false` when it failed or was abandoned. */
-async function * withCompletion (body: AnswerBody, done: (complete: boolean) => void): AsyncGenerator<Uint8Array> {
+async function * withCompletion (body: ResponseBody, done: (complete: boolean) => void): AsyncGenerator<Uint8Array> {
   let complete = false
   try {
     yield * body
@@ -33,16 +33,16 @@
 }
 
 /** The failure reported to the caller for each fault. A fault that doesn't prove that the request hasn't run gives `unknown`. */
-const faultFailures: Record<BackendFault['code'], (detail: string) => Failure> = {
+const faultFailures: Record<BackendError['code'], (detail: string) => Failure> = {
   unreachable: detail => notRun('backend_unreachable', { detail, retryAfterMs: 1000 }),
-  lost: detail => unknown('connection_lost', { detail }),
+  lost: detail => outcomeUnknown('connection_lost', { detail }),
   not_loaded: detail => notRun('engine_restarted', { detail }),
   fenced: detail => notRun('backend_refused', { detail }),
   busy: detail => notRun('overloaded', { detail, retryAfterMs: 1000 }),
   refused: detail => notRun('backend_refused', { detail })
 }
 
-const failureOf = ({ code, detail }: BackendFault): Failure => faultFailures[code](detail)
+const failureOf = ({ code, detail }: BackendError): Failure => faultFailures[code](detail)
 
 export interface ServiceRunnerOptions {
   service: PlainService
@@ -52,23 +52,23 @@
 }
 
 export class ServiceRunner implements Runner {
-  readonly gate: Gate
+  readonly queue: AdmissionQueue
 
   constructor (private readonly options: ServiceRunnerOptions) {
     const weightOf = (team: string): number => options.catalog.team(team)?.weight ?? 1
-    this.gate = new Gate({ capacity: options.capacity, maxWaiting: defaultMaxWaiting, weightOf })
+    this.queue = new AdmissionQueue({ capacity: options.capacity, maxQueued: defaultMaxQueued, weightOf })
   }
 
-  refusal (work: Work): Failure | undefined {
-    return this.gate.refusal(work)
+  refusalOf (work: Work): Failure | undefined {
+    return this.queue.overloadFailure(work)
   }
 
   resident (): boolean {
     return true
   }
 
-  async start (work: Work, signal: AbortSignal): Promise<Result<Answer, Failure>> {
-    const release = await this.gate.enter(work, Date.now() + work.patienceMs, signal)
+  async start (work: Work, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
+    const release = await this.queue.admit(work, Date.now() + work.patienceMs, signal)
     if (release.isErr()) return err(release.error)
     const answer = await this.options.service.call({ call: work.call, fence: this.options.fence, signal })
     if (answer.isErr()) {
@@ -103,34 +103,34 @@
 }
 
 export class EngineRunner implements Runner {
-  readonly gate: Gate
-  readonly slots: Slots
-  readonly prefixes = new PrefixCache(maxPrefixBlocks)
+  readonly queue: AdmissionQueue
+  readonly slots: AdapterSlots
+  readonly prefixes = new PrefixCacheMirror(maxPrefixBlocks)
   #boot: string
 
   constructor (private readonly options: EngineRunnerOptions) {
     const { report, catalog, engine, fence, log, random } = options
     const weightOf = (team: string): number => catalog.team(team)?.weight ?? 1
-    this.gate = new Gate({ capacity: report.capacity, maxWaiting: defaultMaxWaiting, weightOf })
-    this.slots = new Slots({ engine, fence, slots: report.slots, leftovers: report.loaded, log, random })
+    this.queue = new AdmissionQueue({ capacity: report.capacity, maxQueued: defaultMaxQueued, weightOf })
+    this.slots = new AdapterSlots({ engine, fence, slots: report.slots, leftovers: report.loaded, log, random })
     this.#boot = report.boot
   }
 
-  refusal (work: Work): Failure | undefined {
-    return this.gate.refusal(work)
+  refusalOf (work: Work): Failure | undefined {
+    return this.queue.overloadFailure(work)
   }
 
   resident (work: Work): boolean {
-    return this.slots.holds(this.#labelOf(adapterTargetOf(work)))
+    return this.slots.isLoaded(this.#labelOf(adapterTargetOf(work)))
   }
 
-  async start (work: Work, signal: AbortSignal): Promise<Result<Answer, Failure>> {
+  async start (work: Work, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
     const target = adapterTargetOf(work)
     const deadline = Date.now() + work.patienceMs
     const label = this.#labelOf(target)
     const pin = await this.slots.pin({ label, source: target.source, class: work.class, deadline }, signal)
     if (pin.isErr()) return err(pin.error)
-    const release = await this.gate.enter(work, deadline, signal)
+    const release = await this.queue.admit(work, deadline, signal)
     if (release.isErr()) {
       pin.value.release()
       return err(release.error)
@@ -142,7 +142,7 @@
     const { engine, catalog, model } = this.options
     const mayClear = (): boolean => catalog.model(model)?.checksFences === true
     await Promise.all([
-      watchBoot(engine, bootPollMs, signal, boot => this.#updateBoot(boot)),
+      pollBootId(engine, bootPollMs, signal, boot => this.#updateBoot(boot)),
       this.slots.clearLeftovers(mayClear, signal),
       this.#followCacheEvents(signal)
     ])
@@ -150,7 +150,7 @@
 
   async #followCacheEvents (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      for await (const event of this.options.engine.cacheEvents(signal)) this.prefixes.take(event)
+      for await (const event of this.options.engine.cacheEvents(signal)) this.prefixes.apply(event)
       await pause(bootPollMs, signal)
     }
   }
@@ -160,7 +160,7 @@
     return `${adapterLabel(target)}#${this.options.fence}`
   }
 
-  async #generate (work: Work, pin: Pin, release: Release, signal: AbortSignal): Promise<Result<Answer, Failure>> {
+  async #generate (work: Work, pin: Pin, release: Release, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
     const done = (ended: boolean): void => {
       release()
       if (ended) pin.release()
@@ -179,7 +179,7 @@
       this.#updateBoot(answer.value.boot)
       // The restarted engine may have run the request on something other than the adapter, so its response is discarded.
       void answer.value.body[Symbol.asyncIterator]().return?.()
-      return err(unknown('engine_restarted'))
+      return err(outcomeUnknown('engine_restarted'))
     }
     return ok({ status: answer.value.status, headers: answer.value.headers, body: withCompletion(answer.value.body, done) })
   }
@@ -201,6 +201,6 @@
   #updateBoot (boot: string): void {
     if (boot === this.#boot || boot === '') return
     this.#boot = boot
-    this.slots.restarted(boot)
+    this.slots.handleRestart(boot)
   }
 }
--- a/packages/daemon/src/side/side.ts
+++ b/packages/daemon/src/side/side-process.ts
@@ -5,16 +5,16 @@
  * request runs in a task of its own; one with an idempotency key is run to its end even if its channel ends.
  */
 import type { Duplex } from 'node:stream'
-import { notRun, pause, servingName, servingOf, type Address, type Answer, type Failure, type FailureDomain, type Incarnation, type Log, type ProcessId, type Serving, type Work } from '@finchpitch/core'
+import { notRun, pause, servingName, servingOf, type Address, type HttpResponse, type Failure, type FailureDomain, type Incarnation, type Log, type ProcessId, type Serving, type Work } from '@finchpitch/core'
 import type { Catalog } from '@finchpitch/store'
-import { Channel, protocolVersion, type FrameOf, type Load } from '@finchpitch/wire'
+import { Channel, protocolVersion, type FrameOf, type LoadReport } from '@finchpitch/wire'
 import { err, type Result } from 'neverthrow'
 import { CatalogExchange } from '../catalog-exchange.js'
 import { Exchange } from './exchange.js'
-import { Executions, defaultLimits } from './executions.js'
+import { IdempotencyRecords, defaultIdempotencyLimits } from './idempotency-records.js'
 import type { Runner } from './runner.js'
 
-export interface SideOptions {
+export interface SideProcessOptions {
   process: ProcessId
   incarnation: Incarnation
   domain: FailureDomain
@@ -32,20 +32,20 @@
 /** Requests in progress, queued ones included, beyond which further ones are refused. */
 const maxRunning = 10_000
 
-export class Side {
-  readonly executions: Executions
+export class SideProcess {
+  readonly idempotencyRecords: IdempotencyRecords
   readonly #channels = new Set<Channel>()
   readonly #tasks = new Set<Promise<void>>()
   readonly #shutdown = new AbortController()
   #draining = false
 
-  constructor (private readonly options: SideOptions) {
-    this.executions = new Executions({ incarnation: options.incarnation, ...defaultLimits })
+  constructor (private readonly options: SideProcessOptions) {
+    this.idempotencyRecords = new IdempotencyRecords({ incarnation: options.incarnation, ...defaultIdempotencyLimits })
   }
 
-  get load (): Load {
-    const { gate: requestQueue } = this.options.runner
-    return { waiting: requestQueue.waiting, running: requestQueue.running, capacity: requestQueue.capacity, epoch: this.executions.epoch, leaving: this.#draining }
+  get load (): LoadReport {
+    const { queue: requestQueue } = this.options.runner
+    return { waiting: requestQueue.waiting, running: requestQueue.running, capacity: requestQueue.capacity, epoch: this.idempotencyRecords.epoch, leaving: this.#draining }
   }
 
   get running (): number {
@@ -65,7 +65,7 @@
     const configuration = new CatalogExchange(catalog, channel)
     let lastId = -1
     this.#channels.add(channel)
-    void channel.greeted.then(greeted => { if (greeted) configuration.see(channel.peer.revision) })
+    void channel.helloReceived.then(greeted => { if (greeted) configuration.observeRevision(channel.peer.revision) })
     for await (const frame of channel.frames()) {
       if (frame.type === 'run') {
         // Ids increase, so a duplicated frame is recognized and starts nothing.
@@ -73,8 +73,8 @@
         lastId = Math.max(lastId, frame.id)
       }
       if (frame.type === 'cancel') exchanges.get(frame.id)?.cancel()
-      else if (frame.type === 'credit') exchanges.get(frame.id)?.window.give(frame.bytes)
-      else configuration.take(frame)
+      else if (frame.type === 'credit') exchanges.get(frame.id)?.window.addCredit(frame.bytes)
+      else configuration.handleFrame(frame)
     }
     this.#channels.delete(channel)
     configuration.close()
@@ -83,13 +83,13 @@
   }
 
   /** Starts draining: refuses new requests and notifies every peer. */
-  leave (): void {
+  startDraining (): void {
     this.#draining = true
     for (const channel of this.#channels) channel.send(this.#heartbeat())
   }
 
   /** Resolves once no request is running and all responses have been flushed. */
-  async drained (): Promise<void> {
+  async whenDrained (): Promise<void> {
     while (this.#tasks.size > 0) await Promise.race(this.#tasks)
     await Promise.all([...this.#channels].map(channel => channel.flushed()))
   }
@@ -111,7 +111,7 @@
   async #advanceEpochs (): Promise<void> {
     while (!this.#shutdown.signal.aborted) {
       await pause(this.options.epochMs, this.#shutdown.signal)
-      if (!this.#shutdown.signal.aborted) this.executions.advance()
+      if (!this.#shutdown.signal.aborted) this.idempotencyRecords.advanceEpoch()
     }
   }
 
@@ -132,14 +132,14 @@
     await exchange.send(answer, resident)
   }
 
-  async #answer (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<Answer, Failure>> {
+  async #answer (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<HttpResponse, Failure>> {
     const { once } = work
     if (once === undefined) return await this.#start(work, signal, configuration)
     // A request with an idempotency key runs to its end even if its caller has gone: a retry gets the response.
-    return await this.executions.run(work, once, () => this.#start(work, this.#shutdown.signal, configuration))
+    return await this.idempotencyRecords.run(work, once, () => this.#start(work, this.#shutdown.signal, configuration))
   }
 
-  async #start (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<Answer, Failure>> {
+  async #start (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<HttpResponse, Failure>> {
     const refusal = await this.#refusal(work, configuration)
     if (refusal !== undefined) return err(refusal)
     return await this.options.runner.start(work, signal)
@@ -154,6 +154,6 @@
     if (work.revision > catalog.revision) await configuration.pull()
     if (work.revision > catalog.revision) return notRun('stale_revision', { revision: catalog.revision })
     if (this.#draining) return notRun('leaving')
-    return runner.refusal(work)
+    return runner.refusalOf(work)
   }
 }
--- a/packages/daemon/src/start-entry.ts
+++ b/packages/daemon/src/start-entry.ts
@@ -2,13 +2,13 @@
  * Starts an entry instance: connects its parts, opens its listeners, runs its tasks and shuts it down gracefully.
  */
 import { readFile } from 'node:fs/promises'
-import { Address, newIncarnation, pause, within, type Log } from '@finchpitch/core'
+import { Address, newIncarnation, pause, withTimeout, type Log } from '@finchpitch/core'
 import { callerRoutes, ticketRoutes } from '@finchpitch/callers'
 import { Gateway, type TlsFiles } from '@finchpitch/http'
 import { operatorRoutes, processRoutes } from '@finchpitch/operators'
 import { Catalog, HttpInstanceList, HttpStore } from '@finchpitch/store'
 import { dial, listen } from '@finchpitch/wire'
-import type { Running } from './commands/daemon-command.js'
+import type { RunningProcess } from './commands/daemon-command.js'
 import { Entry } from './entry/entry.js'
 import { Metrics } from './metrics.js'
 import { EntryOperations } from './operations.js'
@@ -22,7 +22,7 @@
   return { tls: { key: await readFile(key, 'utf8'), cert: await readFile(cert, 'utf8') } }
 }
 
-export const startEntry = async (settings: EntrySettings, log: Log): Promise<Running> => {
+export const startEntry = async (settings: EntrySettings, log: Log): Promise<RunningProcess> => {
   const { process, domain, host } = settings
   const store = new HttpStore(settings.platform, settings['platform-token'])
   const catalog = new Catalog('all')
@@ -55,7 +55,7 @@
     port: settings['caller-port'],
     ...tls,
     routes: {
-      ...callerRoutes({ log, serve: (ask, signal) => entry.serve(ask, signal), observe: (ask, end) => metrics.ended(ask.class, end) }),
+      ...callerRoutes({ log, serve: (ask, signal) => entry.serve(ask, signal), onRequestEnd: (ask, end) => metrics.ended(ask.class, end) }),
       ...ticketRoutes({ issue: ask => entry.ticket(ask) })
     }
   })
@@ -64,10 +64,10 @@
     host,
     port: settings['operator-port'],
     ...tls,
-    routes: { ...operatorRoutes(operations, access), ...processRoutes({ unready, setLogLevel, metrics: () => metrics.print() }, access) }
+    routes: { ...operatorRoutes(operations, access), ...processRoutes({ notReadyReason: unready, setLogLevel, metrics: () => metrics.print() }, access) }
   })
   const peers = await listen(host, settings['peer-port'], stream => entry.accept(stream))
-  address = advertised(peers.address, settings['advertise-host'])
+  address = advertisedAddress(peers.address, settings['advertise-host'])
   await callers.start()
   await operators.start()
   const tasks = entry.run()
@@ -76,7 +76,7 @@
     stopping = true
     log.info('entry.stopping', { running: entry.running })
     await pause(settings['notice-ms'])
-    const drained = await within(settings['drain-ms'], callers.drain().then(() => true), false)
+    const drained = await withTimeout(settings['drain-ms'], callers.drain().then(() => true), false)
     log.info('entry.stopped', { whole: drained, running: entry.running })
     entry.close()
     await Promise.all([callers.stop(), operators.stop(), peers.close(), tasks])
@@ -86,5 +86,5 @@
 }
 
 /** The address announced to peers, whose host may differ from the one listened on. */
-export const advertised = (bound: Address, host: string | undefined): Address =>
+export const advertisedAddress = (bound: Address, host: string | undefined): Address =>
   host === undefined ? bound : Address.parse(`${host}:${bound.slice(bound.lastIndexOf(':') + 1)}`)
--- a/packages/daemon/src/start-side.ts
+++ b/packages/daemon/src/start-side.ts
@@ -1,18 +1,18 @@
 /**
  * Starts a side process: takes a fencing token, connects to the backend server, opens the listeners and shuts down gracefully.
  */
-import { Address, backoff, newIncarnation, pause, within, type Log } from '@finchpitch/core'
+import { Address, backoff, newIncarnation, pause, withTimeout, type Log } from '@finchpitch/core'
 import { HttpEngine, HttpService, type Engine, type EngineReport } from '@finchpitch/backend'
 import { Gateway } from '@finchpitch/http'
 import { processRoutes } from '@finchpitch/operators'
-import { Catalog, HttpInstanceList, HttpStore, takeFence, type Instance, type ObjectStore } from '@finchpitch/store'
+import { Catalog, HttpInstanceList, HttpStore, acquireFencingToken, type Instance, type ObjectStore } from '@finchpitch/store'
 import { dial, listen, protocolVersion } from '@finchpitch/wire'
-import type { Running } from './commands/daemon-command.js'
+import type { RunningProcess } from './commands/daemon-command.js'
 import { Metrics } from './metrics.js'
 import { servingFrom, type SideSettings } from './settings.js'
 import { EngineRunner, ServiceRunner, type Runner } from './side/runner.js'
-import { Side } from './side/side.js'
-import { advertised } from './start-entry.js'
+import { SideProcess } from './side/side-process.js'
+import { advertisedAddress } from './start-entry.js'
 import { keepUplink } from './uplink.js'
 
 const random = Math.random
@@ -23,7 +23,7 @@
  */
 const acquireFence = async (store: ObjectStore, name: string, log: Log): Promise<number> => {
   for (let failures = 1; ; failures++) {
-    const fence = await takeFence(store, name, random)
+    const fence = await acquireFencingToken(store, name, random)
     if (fence.isOk()) return fence.value
     log.warn('side.unfenced', { fault: fence.error.code, detail: fence.error.detail })
     await pause(backoff(failures, random))
@@ -47,7 +47,7 @@
   return new EngineRunner({ model: settings.model, engine, fence, report: await awaitEngineReport(engine, log), catalog, log, random })
 }
 
-export const startSide = async (settings: SideSettings, log: Log): Promise<Running> => {
+export const startSide = async (settings: SideSettings, log: Log): Promise<RunningProcess> => {
   const { process, domain, host } = settings
   const store = new HttpStore(settings.platform, settings['platform-token'])
   const catalog = new Catalog('common')
@@ -56,21 +56,21 @@
   const fence = await acquireFence(store, process, log)
   const runner = await makeRunner(settings, fence, catalog, log)
   let address = Address.parse(`${host}:0`)
-  const side = new Side({ process, incarnation, domain, address: () => address, serving: servingFrom(settings), runner, catalog, log, epochMs: settings['epoch-ms'] })
+  const side = new SideProcess({ process, incarnation, domain, address: () => address, serving: servingFrom(settings), runner, catalog, log, epochMs: settings['epoch-ms'] })
   metrics.gauge('finchpitch_requests_running', 'Requests in progress.', () => side.running)
-  metrics.gauge('finchpitch_requests_waiting', 'Requests queued for the backend server.', () => runner.gate.waiting)
+  metrics.gauge('finchpitch_requests_waiting', 'Requests queued for the backend server.', () => runner.queue.waiting)
   if (runner instanceof EngineRunner) {
     const { prefixes, slots } = runner
     metrics.gauge('finchpitch_cached_prefix_blocks', 'Prefix blocks in the engine\'s cache, by its cache events.', () => prefixes.size)
-    metrics.gauge('finchpitch_cache_event_gaps', 'Gaps detected in the sequence of cache events.', () => prefixes.gaps)
+    metrics.gauge('finchpitch_cache_event_gaps', 'Gaps detected in the sequence of cache events.', () => prefixes.gapCount)
     metrics.gauge('finchpitch_adapters_loaded', 'Adapter versions loaded by this side process.', () => slots.labels.length)
   }
-  metrics.gauge('finchpitch_keys', 'Idempotency keys remembered.', () => side.executions.size)
-  metrics.gauge('finchpitch_kept_answer_bytes', 'Bytes of responses kept for retries with the same idempotency key.', () => side.executions.keptBytes)
+  metrics.gauge('finchpitch_keys', 'Idempotency keys remembered.', () => side.idempotencyRecords.size)
+  metrics.gauge('finchpitch_kept_answer_bytes', 'Bytes of responses kept for retries with the same idempotency key.', () => side.idempotencyRecords.keptBytes)
   metrics.gauge('finchpitch_configuration_revision', 'Configuration revision in force at this process.', () => catalog.revision)
 
   const peers = await listen(host, settings['peer-port'], stream => side.accept(stream))
-  address = advertised(peers.address, settings['advertise-host'])
+  address = advertisedAddress(peers.address, settings['advertise-host'])
   let stopping = false
   const access = { tokenHash: settings['operator-token-hash'] }
   const setLogLevel = (level: typeof log.level): void => { log.level = level }
@@ -78,7 +78,7 @@
     name: 'operators',
     host,
     port: settings['operator-port'],
-    routes: processRoutes({ unready: () => stopping ? 'stopping' : undefined, setLogLevel, metrics: () => metrics.print() }, access)
+    routes: processRoutes({ notReadyReason: () => stopping ? 'stopping' : undefined, setLogLevel, metrics: () => metrics.print() }, access)
   })
   await operators.start()
 
@@ -98,9 +98,9 @@
 
   const stop = async (): Promise<void> => {
     stopping = true
-    side.leave()
+    side.startDraining()
     log.info('side.stopping', { running: side.running })
-    const drained = await within(settings['drain-ms'], side.drained().then(() => true), false)
+    const drained = await withTimeout(settings['drain-ms'], side.whenDrained().then(() => true), false)
     log.info('side.stopped', { whole: drained, running: side.running })
     shutdown.abort()
     side.close()
--- a/packages/daemon/src/uplink.ts
+++ b/packages/daemon/src/uplink.ts
@@ -16,7 +16,7 @@
 const watcherKey = 'watchers'
 
 /** The entries that watch the store for `domain`: its own, or those of other domains if it has none. */
-export const watchersOf = (instances: readonly Instance[], domain: FailureDomain): Instance[] => {
+export const selectWatchers = (instances: readonly Instance[], domain: FailureDomain): Instance[] => {
   const entries = instances.filter(each => each.role === 'entry' && !each.leaving)
   const local = entries.filter(each => each.domain === domain)
   return rankCandidates(watcherKey, local.length > 0 ? local : entries, watchersPerDomain)
@@ -40,7 +40,7 @@
  * and the next one after each failure.
  */
 const pickWatcher = async ({ process, domain, instances }: UplinkOptions, failures: number): Promise<Address | undefined> => {
-  const others = watchersOf(await instances(), domain).filter(each => each.process !== process)
+  const others = selectWatchers(await instances(), domain).filter(each => each.process !== process)
   return rankCandidates(process, others, others.length)[failures % Math.max(1, others.length)]?.address
 }
 
@@ -62,9 +62,9 @@
     const channel = new Channel(await dial(address), channelOptions)
     const close = (): void => channel.close()
     signal.addEventListener('abort', close)
-    await readPeer(channel, catalog)
+    await exchangeConfiguration(channel, catalog)
     signal.removeEventListener('abort', close)
-    return await channel.greeted
+    return await channel.helloReceived
   } catch (error) {
     log.debug('uplink.unreachable', { address, detail: (error as Error).message })
     return false
@@ -72,9 +72,9 @@
 }
 
 /** Exchanges the configuration over a channel used for nothing else, until it ends. */
-export const readPeer = async (channel: Channel, catalog: Catalog): Promise<void> => {
+export const exchangeConfiguration = async (channel: Channel, catalog: Catalog): Promise<void> => {
   const exchange = new CatalogExchange(catalog, channel)
-  void channel.greeted.then(greeted => { if (greeted) exchange.see(channel.peer.revision) })
-  for await (const frame of channel.frames()) exchange.take(frame)
+  void channel.helloReceived.then(greeted => { if (greeted) exchange.observeRevision(channel.peer.revision) })
+  for await (const frame of channel.frames()) exchange.handleFrame(frame)
   exchange.close()
 }
--- a/packages/daemon/test/slots.test.ts
+++ b/packages/daemon/test/adapter-slots.test.ts
@@ -1,5 +1,5 @@
-import { quietLog, type WorkClass } from '@finchpitch/core'
-import { Slots, type Pin } from '@finchpitch/daemon'
+import { silentLog, type WorkClass } from '@finchpitch/core'
+import { AdapterSlots, type Pin } from '@finchpitch/daemon'
 import { FakeTime, MemoryEngine, WeightStore } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
@@ -7,7 +7,7 @@
   let time: FakeTime
   let engine: MemoryEngine
   let weights: WeightStore
-  let slots: Slots
+  let slots: AdapterSlots
   const signal = new AbortController().signal
 
   const pin = async (label: string, workClass: WorkClass = 'caller', patienceMs = 10_000): Promise<Pin | string> => {
@@ -20,12 +20,12 @@
     return pinned
   }
 
-  const make = (count: number, leftovers: string[] = []): Slots =>
-    new Slots({ engine, fence: 2, slots: count, log: quietLog, random: () => 0.5, leftovers })
+  const make = (count: number, leftovers: string[] = []): AdapterSlots =>
+    new AdapterSlots({ engine, fence: 2, slots: count, log: silentLog, random: () => 0.5, leftovers })
 
   beforeEach(() => {
     time = new FakeTime()
-    weights = new WeightStore({ loadsPerSecond: 100, fullSpeedPlaces: 4, loadMs: 100 })
+    weights = new WeightStore({ loadsPerSecond: 100, maxFullSpeedLoads: 4, loadMs: 100 })
     engine = new MemoryEngine({ slots: 2, capacity: 4, tokenMs: 10, weights, checksFences: true })
     slots = make(2)
   })
@@ -33,29 +33,29 @@
   afterEach(() => time.restore())
 
   it('load an adapter once for all requests that wait for it', async () => {
-    await time.until(Promise.all(['a', 'a', 'a'].map(label => pin(label))))
+    await time.runUntilSettled(Promise.all(['a', 'a', 'a'].map(label => pin(label))))
     expect(weights.loads).to.equal(1)
   })
 
   it('never evict a pinned adapter; the next request waits until a pin is released', async () => {
-    const [a] = await time.until(Promise.all([pin('a'), pin('b')]))
+    const [a] = await time.runUntilSettled(Promise.all([pin('a'), pin('b')]))
     const third = pin('c')
-    await time.pass(1000)
+    await time.advance(1000)
     expect(engine.loaded).to.have.members(['a', 'b'])
     pinOf(a ?? '').release()
-    await time.until(third)
+    await time.runUntilSettled(third)
     expect(engine.loaded).to.have.members(['b', 'c'])
   })
 
   it('evict the least popular adapter', async () => {
-    for (const label of ['a', 'a', 'a', 'b']) pinOf(await time.until(pin(label))).release()
-    pinOf(await time.until(pin('c'))).release()
+    for (const label of ['a', 'a', 'a', 'b']) pinOf(await time.runUntilSettled(pin(label))).release()
+    pinOf(await time.runUntilSettled(pin('c'))).release()
     expect(engine.loaded).to.have.members(['a', 'c'])
   })
 
   it('load first the adapter whose waiting requests weigh most', async () => {
     slots = make(1)
-    const first = pinOf(await time.until(pin('first')))
+    const first = pinOf(await time.runUntilSettled(pin('first')))
     const order: string[] = []
     const recordOrder = async (name: string, waited: Promise<Pin | string>): Promise<void> => {
       const pinned = pinOf(await waited)
@@ -64,53 +64,53 @@
     }
     const waiting = [recordOrder('batch', pin('batch', 'batch')), recordOrder('desk', pin('desk', 'desk'))]
     first.release()
-    await time.until(Promise.all(waiting))
+    await time.runUntilSettled(Promise.all(waiting))
     expect(order).to.deep.equal(['desk', 'batch'])
   })
 
   describe('a load that fails', () => {
     it('is reported at once with a retry hint, and does not delay other loads', async () => {
       weights.broken.add('bad')
-      expect(await time.until(pin('bad'))).to.equal('load_failed')
+      expect(await time.runUntilSettled(pin('bad'))).to.equal('load_failed')
       const again = pin('bad')
       const good = pin('good')
       expect(await again).to.equal('load_failed')
-      expect(pinOf(await time.until(good)).label).to.equal('good')
+      expect(pinOf(await time.runUntilSettled(good)).label).to.equal('good')
       expect(weights.loads).to.equal(2)
     })
   })
 
   describe('an engine', () => {
     it('that has restarted has no adapter loaded', async () => {
-      pinOf(await time.until(pin('a'))).release()
+      pinOf(await time.runUntilSettled(pin('a'))).release()
       engine.restart()
-      slots.restarted(engine.boot)
-      expect(slots.holds('a')).to.equal(false)
-      expect(pinOf(await time.until(pin('a'))).boot).to.equal(engine.boot)
+      slots.handleRestart(engine.boot)
+      expect(slots.isLoaded('a')).to.equal(false)
+      expect(pinOf(await time.runUntilSettled(pin('a'))).boot).to.equal(engine.boot)
     })
 
     it('that an earlier process filled is cleared as its adapters become idle', async () => {
-      for (const label of ['old#1', 'busy#1']) await time.until(engine.load({ label, source: label, fence: 1 }))
+      for (const label of ['old#1', 'busy#1']) await time.runUntilSettled(engine.load({ label, source: label, fence: 1 }))
       const call = { method: 'POST', path: '/', headers: {}, body: Buffer.from('{"max_tokens":1000}') }
       const earlier = new AbortController()
       await engine.generate({ id: 'r', label: 'busy#1', call, priority: 0, salt: '', fence: 1, signal: earlier.signal })
       slots = make(2, ['old#1', 'busy#1'])
       void slots.clearLeftovers(() => true, signal)
       const pinned = pin('new#2', 'caller', 60_000)
-      await time.pass(10_000)
+      await time.advance(10_000)
       expect(engine.loaded).to.have.members(['busy#1', 'new#2'])
       pinOf(await pinned)
       earlier.abort()
-      await time.pass(2000)
+      await time.advance(2000)
       expect([engine.loaded, engine.violations]).to.deep.equal([['new#2'], []])
     })
 
     it('that does not check fencing tokens is left as it was found', async () => {
-      await time.until(engine.load({ label: 'old#1', source: 'old', fence: 1 }))
+      await time.runUntilSettled(engine.load({ label: 'old#1', source: 'old', fence: 1 }))
       slots = make(2, ['old#1'])
       const stop = new AbortController()
       void slots.clearLeftovers(() => false, stop.signal)
-      await time.pass(20_000)
+      await time.advance(20_000)
       expect(engine.loaded).to.deep.equal(['old#1'])
       stop.abort()
     })
--- a/packages/daemon/test/dispatch.test.ts
+++ b/packages/daemon/test/dispatcher.test.ts
@@ -1,5 +1,5 @@
-import { Address, Incarnation, ModelName, ProcessId, RequestId, RequestKey, Revision, ServiceName, TeamName, notRun, quietLog, unknown, type Answer, type Failure, type Work } from '@finchpitch/core'
-import { Dispatch, type SidePeer, type Sides } from '@finchpitch/daemon'
+import { Address, Incarnation, ModelName, ProcessId, RequestId, RequestKey, Revision, ServiceName, TeamName, notRun, silentLog, outcomeUnknown, type HttpResponse, type Failure, type Work } from '@finchpitch/core'
+import { Dispatcher, type SideConnection, type SidePool } from '@finchpitch/daemon'
 import { Catalog, Claims } from '@finchpitch/store'
 import { FakeTime, MemoryStore } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
@@ -15,14 +15,14 @@
   call: { method: 'PUT', path: '/', headers: {}, body: Buffer.from('x') }
 }
 const once = { key: RequestKey.parse('key'), firstTry: false }
-const answer: Answer = { status: 200, headers: {}, body: (async function * () { yield Buffer.from('whole') })() }
+const answer: HttpResponse = { status: 200, headers: {}, body: (async function * () { yield Buffer.from('whole') })() }
 
 describe('dispatcher', () => {
   let time: FakeTime
   let store: MemoryStore
-  let dispatcher: Dispatch
+  let dispatcher: Dispatcher
   /** The side process's results for successive attempts. */
-  let results: Array<Result<Answer, Failure>>
+  let results: Array<Result<HttpResponse, Failure>>
   let attempts: number
   /** The rendezvous keys by which side processes were selected. */
   let rendezvousKeys: string[]
@@ -33,22 +33,22 @@
     store = new MemoryStore()
     attempts = 0
     rendezvousKeys = []
-    const run = async (): Promise<Result<Answer, Failure>> => results[attempts++] ?? err(unknown('connection_lost'))
-    const peer = { run, incarnation: Incarnation.parse('abcdefghijklmnop'), epoch: 0 } as unknown as SidePeer
+    const run = async (): Promise<Result<HttpResponse, Failure>> => results[attempts++] ?? err(outcomeUnknown('connection_lost'))
+    const peer = { run, incarnation: Incarnation.parse('abcdefghijklmnop'), epoch: 0 } as unknown as SideConnection
     const selected = { process: ProcessId.parse('side'), address: Address.parse('127.0.0.1:1'), peer }
     const choose = async (_serving: unknown, key: string): Promise<typeof selected> => {
       rendezvousKeys.push(key)
       return selected
     }
-    const sides = { choose, reach: async () => peer } as unknown as Sides
-    const claims = new Claims({ store, random: () => 0.5, buckets: 1, keptMs: 60_000 })
-    dispatcher = new Dispatch({ sides, claims, catalog: new Catalog('all'), catchUp: async () => {}, log: quietLog, random: () => 0.5 })
+    const sides = { choose, reach: async () => peer } as unknown as SidePool
+    const claims = new Claims({ store, random: () => 0.5, bucketCount: 1, keptMs: 60_000 })
+    dispatcher = new Dispatcher({ sides, claims, catalog: new Catalog('all'), catchUp: async () => {}, log: silentLog, random: () => 0.5 })
   })
 
   afterEach(() => time.restore())
 
-  const outcomeOf = async (result: Promise<Result<Answer, Failure>>): Promise<string> => {
-    const ended = await time.until(result)
+  const outcomeOf = async (result: Promise<Result<HttpResponse, Failure>>): Promise<string> => {
+    const ended = await time.runUntilSettled(result)
     return ended.isOk() ? 'ran' : `${ended.error.outcome} ${ended.error.code}`
   }
 
@@ -60,13 +60,13 @@
     })
 
     it('does not treat an attempt that was not sent as a refusal', async () => {
-      results = [err(unknown('connection_lost')), err(notRun('not_sent')), ok(answer)]
+      results = [err(outcomeUnknown('connection_lost')), err(notRun('not_sent')), ok(answer)]
       expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('ran')
       expect(store.calls.writes).to.equal(1)
     })
 
     it('is unknown if an attempt may have arrived and no later one can be sent', async () => {
-      results = [err(unknown('connection_lost')), ...Array.from({ length: 5 }, () => err(notRun('not_sent')))]
+      results = [err(outcomeUnknown('connection_lost')), ...Array.from({ length: 5 }, () => err(notRun('not_sent')))]
       expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('unknown connection_lost')
     })
 
@@ -82,7 +82,7 @@
 
   describe('without an idempotency key', () => {
     it('is retried after an unknown outcome only if it is repeatable', async () => {
-      results = [err(unknown('connection_lost')), ok(answer)]
+      results = [err(outcomeUnknown('connection_lost')), ok(answer)]
       expect(await outcomeOf(dispatcher.run(work, true, signal))).to.equal('ran')
       attempts = 0
       expect(await outcomeOf(dispatcher.run(work, false, signal))).to.equal('unknown connection_lost')
--- a/packages/daemon/test/executions.test.ts
+++ b/packages/daemon/test/idempotency-records.test.ts
@@ -1,5 +1,5 @@
-import { Incarnation, RequestId, RequestKey, Revision, ServiceName, TeamName, Address, ProcessId, notRun, type Answer, type Failure, type Work } from '@finchpitch/core'
-import { Executions, defaultLimits } from '@finchpitch/daemon'
+import { Incarnation, RequestId, RequestKey, Revision, ServiceName, TeamName, Address, ProcessId, notRun, type HttpResponse, type Failure, type Work } from '@finchpitch/core'
+import { IdempotencyRecords, defaultIdempotencyLimits } from '@finchpitch/daemon'
 import { expect } from 'chai'
 import { ok, err, type Result } from 'neverthrow'
 
@@ -21,13 +21,13 @@
   call: { method: 'PUT', path: '/', headers: {}, body: Buffer.from(body) }
 })
 
-const answer = (...chunks: string[]): Answer => ({
+const answer = (...chunks: string[]): HttpResponse => ({
   status: 200,
   headers: {},
   body: (async function * () { for (const chunk of chunks) yield Buffer.from(chunk) })()
 })
 
-const read = async (result: Result<Answer, Failure>): Promise<string> => {
+const read = async (result: Result<HttpResponse, Failure>): Promise<string> => {
   if (result.isErr()) return `${result.error.outcome} ${result.error.code}`
   let text = ''
   try {
@@ -39,15 +39,15 @@
 }
 
 describe('idempotency records', () => {
-  let records: Executions
+  let records: IdempotencyRecords
   let starts: number
-  const start = async (): Promise<Result<Answer, Failure>> => {
+  const start = async (): Promise<Result<HttpResponse, Failure>> => {
     starts += 1
     return ok(answer('whole ', 'answer'))
   }
 
   beforeEach(() => {
-    records = new Executions({ incarnation, ...defaultLimits })
+    records = new IdempotencyRecords({ incarnation, ...defaultIdempotencyLimits })
     starts = 0
   })
 
@@ -59,7 +59,7 @@
   })
 
   it('remember a refusal, and run a new binding of the same key', async () => {
-    const refuse = async (): Promise<Result<Answer, Failure>> => err(notRun('leaving'))
+    const refuse = async (): Promise<Result<HttpResponse, Failure>> => err(notRun('leaving'))
     expect(await read(await records.run(work(), once('a'), refuse))).to.equal('not_run leaving')
     expect(await read(await records.run(work(), once('a'), start))).to.equal('not_run leaving')
     expect(await read(await records.run(work(), once('b'), start))).to.equal('whole answer')
@@ -85,9 +85,9 @@
   describe('epochs', () => {
     it('keep a response through the next epoch, and refuse the key after that without running it', async () => {
       await records.run(work(), once('n'), start)
-      records.advance()
+      records.advanceEpoch()
       expect(await read(await records.run(work(), once('n'), start))).to.equal('whole answer')
-      records.advance()
+      records.advanceEpoch()
       expect(await read(await records.run(work(), once('n'), start))).to.equal('unknown answer_expired')
       expect([starts, records.size, records.keptBytes]).to.deep.equal([1, 0, 0])
     })
@@ -95,20 +95,20 @@
 
   describe('limits', () => {
     it('report an unknown outcome, not a refusal, when no more keys can be remembered', async () => {
-      records = new Executions({ incarnation, ...defaultLimits, maxKeys: 1 })
+      records = new IdempotencyRecords({ incarnation, ...defaultIdempotencyLimits, maxKeys: 1 })
       await records.run(work(), once('a'), start)
       expect(await read(await records.run(work(), once('b'), start))).to.equal('unknown keys_full')
     })
 
     it('stream a long response completely to its first reader and keep it for no other', async () => {
-      records = new Executions({ incarnation, ...defaultLimits, maxAnswerBytes: 10 })
-      const long = async (): Promise<Result<Answer, Failure>> => ok(answer('12345678', '12345678', '12345678', 'end'))
+      records = new IdempotencyRecords({ incarnation, ...defaultIdempotencyLimits, maxAnswerBytes: 10 })
+      const long = async (): Promise<Result<HttpResponse, Failure>> => ok(answer('12345678', '12345678', '12345678', 'end'))
       expect(await read(await records.run(work(), once('n'), long))).to.equal('123456781234567812345678end')
       expect(await read(await records.run(work(), once('n'), long))).to.equal('unknown answer_expired')
     })
 
     it('discard the oldest kept responses first', async () => {
-      records = new Executions({ incarnation, ...defaultLimits, maxKeptBytes: 20 })
+      records = new IdempotencyRecords({ incarnation, ...defaultIdempotencyLimits, maxKeptBytes: 20 })
       for (const nonce of ['a', 'b']) await read(await records.run(work(), once(nonce), start))
       expect(await read(await records.run(work(), once('a'), start))).to.equal('unknown answer_expired')
       expect(await read(await records.run(work(), once('b'), start))).to.equal('whole answer')
--- a/packages/daemon/test/processes.test.ts
+++ b/packages/daemon/test/processes.test.ts
@@ -1,6 +1,6 @@
 import { once } from 'node:events'
 import { connect } from 'node:net'
-import { Daemon, SmallSystem, smallConfiguration } from '@finchpitch/stand-ins'
+import { Daemon, TestSystem, testConfiguration } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 import { request } from 'undici'
 
@@ -15,7 +15,7 @@
 
 describe('processes', function () {
   this.timeout(60_000)
-  let system: SmallSystem
+  let system: TestSystem
 
   afterEach(async () => {
     await system.stop()
@@ -23,7 +23,7 @@
 
   describe('invalid requests', () => {
     it('each get a specific error, and the process keeps running', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const chat = '/v1/chat/completions'
       const messages = [{ role: 'user', content: 'hei' }]
       const statement = { model: 'quetzal/statement', prompt: 'x' }
@@ -59,7 +59,7 @@
     })
 
     it('close only their own connection when they are corrupt frames', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const [host, port] = (system.daemon('ledger-0').listening.peers ?? '').split(':')
       const socket = connect(Number(port), host)
       socket.on('error', () => {})
@@ -72,7 +72,7 @@
 
   describe('invalid settings', () => {
     it('are reported together, with exit code 2', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const start = Daemon.start({ role: 'side', process: 'Bad Name', domain: 'zone', platform: 'nowhere', flags: { 'log-level': 'loud', capacity: 0 } })
       const { message } = await start.then(() => { throw new Error('it started') }, (error: Error) => error)
       expect(message).to.contain('ended with 2')
@@ -83,7 +83,7 @@
   describe('a graceful shutdown', () => {
     for (const stopped of ['engine-0', 'entry-0']) {
       it(`of ${stopped} completes a stream in progress`, async () => {
-        system = await SmallSystem.start()
+        system = await TestSystem.start()
         const [engine] = system.engines
         if (engine === undefined) throw new Error('there is an engine')
         engine.engine.tokenMs = 40
@@ -96,7 +96,7 @@
     }
 
     it('of a side process refuses new requests at once, though the instance list still contains it', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const { service } = system.ledger
       let release = (): void => {}
       service.held = new Promise<void>(resolve => { release = resolve })
@@ -116,7 +116,7 @@
 
   describe('a caller that disconnects', () => {
     it('cancels its request at the engine', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const [engine] = system.engines
       if (engine === undefined) throw new Error('there is an engine')
       engine.engine.tokenMs = 50
@@ -132,7 +132,7 @@
 
   describe('a request with an idempotency key', () => {
     it('runs once if its side process is suspended, the request is retried at another entry, and the process resumes', async () => {
-      system = await SmallSystem.start({ entries: 2 })
+      system = await TestSystem.start({ entries: 2 })
       const { service } = system.ledger
       const headers = { 'idempotency-key': 'booking-7', 'finchpitch-patience-ms': '30000' }
       let release = (): void => {}
@@ -150,7 +150,7 @@
     })
 
     it('gets the outcome unknown if the process that ran it was killed', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const { service } = system.ledger
       service.held = new Promise<void>(() => {})
       const headers = { 'idempotency-key': 'booking-8', 'finchpitch-patience-ms': '5000' }
@@ -164,7 +164,7 @@
     })
 
     it('runs with a ticket while the store is down', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const { store } = system.platform
       store.down = true
       const path = '/services/booking-ledger/x'
@@ -178,10 +178,10 @@
 
   describe('an engine', () => {
     it('that breaks off a stream is asked to resume it at the next token', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const [engine] = system.engines
       if (engine === undefined) throw new Error('there is an engine')
-      engine.cuts = 1
+      engine.streamsToCut = 1
       const reply = await system.ask('quetzal', '/v1/completions', { model: 'quetzal/statement', prompt: 'x', stream: true, max_tokens: 8 })
       const tokens = [...(await reply.body.text()).matchAll(/#1:(\d+) /g)].map(([, token]) => Number(token))
       expect(tokens).to.deep.equal([0, 1, 2, 3, 4, 5, 6, 7])
@@ -189,7 +189,7 @@
     })
 
     it('that restarts without adapters is detected, and the adapter is loaded again', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const [engine] = system.engines
       const statement = { model: 'quetzal/statement', prompt: 'x' }
       await (await system.ask('quetzal', '/v1/completions', statement)).body.dump()
@@ -201,7 +201,7 @@
 
   describe('the operators\' listener', () => {
     it('serves health, readiness and metrics, and sets the log level', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const operators = system.daemon('entry-0').url('operators')
       const [health, ready, metrics] = await Promise.all(['/healthz', '/readyz', '/metrics'].map(async path => await (await request(`${operators}${path}`)).body.text()))
       expect([health, ready]).to.deep.equal(['ok\n', 'ready\n'])
@@ -210,14 +210,14 @@
     })
 
     it('counts the cached prefixes that an engine reports', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const metrics = async (): Promise<string> => await (await request(`${system.daemon('engine-0').url('operators')}/metrics`)).body.text()
       do await (await system.ask('quetzal', '/v1/completions', { model: 'quetzal/statement', prompt: 'x', max_tokens: 1 })).body.dump()
       while (!(await metrics()).includes('finchpitch_cached_prefix_blocks 1'))
     })
 
     it('rejects operators\' calls with a caller\'s token', async () => {
-      system = await SmallSystem.start()
+      system = await TestSystem.start()
       const reply = await request(`${system.daemon('entry-0').url('operators')}/operator/v1/configuration`, { headers: { authorization: 'Bearer fjord-token' } })
       expect(await errorOf(reply)).to.equal('401 unauthenticated not_run')
     })
@@ -225,9 +225,9 @@
 
   describe('a configuration change', () => {
     it('takes effect at every process after it was accepted', async () => {
-      system = await SmallSystem.start({ entries: 2 })
-      const teams = smallConfiguration.teams.map(team => ({ ...team, weight: 2 }))
-      await system.apply({ ...smallConfiguration, teams }, 1)
+      system = await TestSystem.start({ entries: 2 })
+      const teams = testConfiguration.teams.map(team => ({ ...team, weight: 2 }))
+      await system.apply({ ...testConfiguration, teams }, 1)
       const inForce = async (name: string): Promise<string> => await (await request(`${system.daemon(name).url('operators')}/metrics`)).body.text()
       for (const name of system.daemons.keys()) {
         while (!(await inForce(name)).includes('finchpitch_configuration_revision 2')) { /* polls until it is or the test times out */ }
--- a/packages/decisions/src/queue.ts
+++ b/packages/decisions/src/queue.ts
@@ -8,7 +8,7 @@
 
 export const agingIntervalMs = 30_000
 
-export interface QueuedRequest {
+export interface QueuedWork {
   team: string
   class: WorkClass
   enqueuedAt: number
@@ -17,7 +17,7 @@
 }
 
 /** The class of a request after aging; 0 is served first. */
-export const rank = (request: QueuedRequest, now: number): number => {
+export const rank = (request: QueuedWork, now: number): number => {
   const agedBy = Math.floor((now - request.enqueuedAt) / agingIntervalMs)
   return Math.max(0, workClasses.indexOf(request.class) - agedBy)
 }
@@ -53,7 +53,7 @@
 }
 
 /** Whether `a` is served before `b`. */
-export const precedes = (a: QueuedRequest, b: QueuedRequest, usage: TeamUsage, now: number): boolean => {
+export const precedes = (a: QueuedWork, b: QueuedWork, usage: TeamUsage, now: number): boolean => {
   const byClass = rank(a, now) - rank(b, now)
   if (byClass !== 0) return byClass < 0
   const byUsage = usage.usageOf(a.team) - usage.usageOf(b.team)
--- a/packages/fleet/src/attempt-reports.ts
+++ b/packages/fleet/src/attempt-reports.ts
@@ -6,7 +6,7 @@
  * only make two crashes appear to overlap that did not, so that they count as one.
  */
 import type { Crash, CrashHistory, AdvertisedLimits, AdvertisedLimit, Probe, CompletedRun } from '@finchpitch/decisions'
-import { mostCrashes, mostLimits, type Channel, type FrameOf } from '@finchpitch/wire'
+import { maxCrashesPerFrame, maxLimitsPerFrame, type Channel, type FrameOf } from '@finchpitch/wire'
 import { nowMs } from './clock.js'
 
 /** A batch of reports: the recent ones, or everything that a process knows. */
@@ -37,14 +37,14 @@
 export const reportFrames = ({ crashes, sound, limits, probes }: AttemptReports): Array<FrameOf<'crashes'>> => {
   const now = nowMs()
   const agoMs = (at: number): number => Math.max(0, now - at)
-  const parts = Math.ceil(Math.max(crashes.length / mostCrashes, sound.length / mostCrashes, probes.length / mostCrashes, limits.length / mostLimits))
+  const parts = Math.ceil(Math.max(crashes.length / maxCrashesPerFrame, sound.length / maxCrashesPerFrame, probes.length / maxCrashesPerFrame, limits.length / maxLimitsPerFrame))
   return Array.from({ length: parts }, (_, part) => ({
     type: 'crashes',
     stamp: now + part,
-    crashes: sliceOf(crashes, part, mostCrashes).map(({ fingerprint, server, sentAt, endedAt }) => [fingerprint, server, agoMs(sentAt), agoMs(endedAt)]),
-    sound: sliceOf(sound, part, mostCrashes).map(({ fingerprint, endedAt }) => [fingerprint, agoMs(endedAt)]),
-    ...(limits.length === 0 ? {} : { limits: sliceOf(limits, part, mostLimits).map(({ server, perSecond, sentAt, heardAt }) => [server, perSecond === Infinity ? null : perSecond, agoMs(sentAt), agoMs(heardAt)]) }),
-    ...(probes.length === 0 ? {} : { probes: sliceOf(probes, part, mostCrashes).map(({ fingerprint, at }) => [fingerprint, agoMs(at)]) })
+    crashes: sliceOf(crashes, part, maxCrashesPerFrame).map(({ fingerprint, server, sentAt, endedAt }) => [fingerprint, server, agoMs(sentAt), agoMs(endedAt)]),
+    sound: sliceOf(sound, part, maxCrashesPerFrame).map(({ fingerprint, endedAt }) => [fingerprint, agoMs(endedAt)]),
+    ...(limits.length === 0 ? {} : { limits: sliceOf(limits, part, maxLimitsPerFrame).map(({ server, perSecond, sentAt, heardAt }) => [server, perSecond === Infinity ? null : perSecond, agoMs(sentAt), agoMs(heardAt)]) }),
+    ...(probes.length === 0 ? {} : { probes: sliceOf(probes, part, maxCrashesPerFrame).map(({ fingerprint, at }) => [fingerprint, agoMs(at)]) })
   }))
 }
 
--- a/packages/fleet/src/engine-mirror.ts
+++ b/packages/fleet/src/engine-mirror.ts
@@ -4,7 +4,7 @@
  * An entry keeps one per engine. A side process keeps one per engine of another failure domain whose updates it relays to the
  * entries of its own domain.
  */
-import type { HoldingFrame } from '@finchpitch/wire'
+import type { EngineUpdateFrame } from '@finchpitch/wire'
 import { nowMs } from './clock.js'
 import { WarmCopies } from './warm-copies.js'
 
@@ -64,7 +64,7 @@
   }
 
   /** Applies an update. A full update resets the fields that it omits; an incremental one leaves them as they are. */
-  apply (frame: HoldingFrame): void {
+  apply (frame: EngineUpdateFrame): void {
     this.at = nowMs()
     const before = frame.whole === true ? initialFields : this
     const server = frame.server === undefined ? before.server : frame.server ?? undefined
@@ -98,7 +98,7 @@
     this.changes += 1
   }
 
-  #updateHeld ({ whole, came, went, coming }: HoldingFrame): void {
+  #updateHeld ({ whole, came, went, coming }: EngineUpdateFrame): void {
     if (coming !== undefined) this.coming = coming
     else if (whole === true) this.coming = []
     const changed = whole === true || came !== undefined || went !== undefined
--- a/packages/fleet/src/entry/try-news-exchange.ts
+++ b/packages/fleet/src/entry/attempt-reporter.ts
@@ -11,7 +11,7 @@
 import { nowMs } from '../clock.js'
 import { reportFrames, batchDelayMs, hasNoReports, mergeReports, noReports, type AttemptReports } from '../attempt-reports.js'
 import { CoalescingTimer } from '../coalescing-timer.js'
-import { MeetingPlace } from './meeting-place.js'
+import { RendezvousSelector } from './rendezvous-selector.js'
 
 /** A crash fails all requests on the server, up to a whole batch; these are reported together. */
 const crashBatchMs = 5
@@ -24,15 +24,15 @@
 const maxAttempts = 5
 
 /** A side process that reports may be sent to. */
-export interface SidePlace {
+export interface ReportTarget {
   host: string
   domain: string
   /** `false` if it is known to be unresponsive or disconnected. */
-  lively: boolean
+  responsive: boolean
 }
 
-export interface TryNewsExchangeOptions {
-  places: () => SidePlace[]
+export interface AttemptReporterOptions {
+  sideProcesses: () => ReportTarget[]
   /** The channel to a side process; starts to open one if there is none. */
   channelTo: (host: string) => Channel | undefined
   log: Log
@@ -50,25 +50,25 @@
   tries: number
 }
 
-export class TryNewsExchange {
+export class AttemptReporter {
   readonly #pending = new Set<PendingReport>()
-  readonly #rendezvous = new MeetingPlace({ matter: 'crashes', passedByMs: skipMs, now: nowMs })
+  readonly #rendezvous = new RendezvousSelector({ purpose: 'crashes', skipMs, now: nowMs })
   /** Reports collected for the next batch. */
   #batch: AttemptReports = noReports
   readonly #batchTimer = new CoalescingTimer(() => this.#sendBatch())
   /** Runs while reports are pending. */
   #checkTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly options: TryNewsExchangeOptions) {}
+  constructor (private readonly options: AttemptReporterOptions) {}
 
-  tell (reports: AttemptReports): void {
+  report (reports: AttemptReports): void {
     if (hasNoReports(reports)) return
     this.#batch = mergeReports([this.#batch, reports])
     this.#batchTimer.runWithin(batchDelayMs(reports, crashBatchMs))
   }
 
   /** Handles the acknowledgement of the frame with this stamp by the side process at `host`. */
-  noted (host: string, stamp: number): void {
+  handleAck (host: string, stamp: number): void {
     for (const pending of this.#pending) if (pending.host === host && pending.stamp === stamp) this.#pending.delete(pending)
     this.#stopIfDone()
   }
@@ -81,7 +81,7 @@
   #sendBatch (): void {
     const reports = this.#batch
     this.#batch = noReports
-    const domains = new Set(this.options.places().map(target => target.domain))
+    const domains = new Set(this.options.sideProcesses().map(target => target.domain))
     for (const domain of domains) this.#sendToDomain(reports, domain)
   }
 
@@ -96,7 +96,7 @@
     for (const pending of this.#pending) {
       if (pending.stamp === undefined) this.#send(pending)
       if (nowMs() - pending.attemptedAt < ackTimeoutMs) continue
-      if (pending.host !== undefined) this.#rendezvous.passBy(pending.host)
+      if (pending.host !== undefined) this.#rendezvous.skip(pending.host)
       this.#tryNext(pending)
     }
     this.#stopIfDone()
@@ -122,7 +122,7 @@
   }
 
   #chooseHost (domain: string): string | undefined {
-    const candidates = this.options.places().filter(target => target.domain === domain && target.lively)
+    const candidates = this.options.sideProcesses().filter(target => target.domain === domain && target.responsive)
     return this.#rendezvous.choose(candidates.map(({ host }) => host))
   }
 
--- a/packages/fleet/src/entry/attempt.ts
+++ b/packages/fleet/src/entry/attempt.ts
@@ -44,7 +44,7 @@
   stream: boolean
   /** Set for a stream that may be resumed at another server: only complete events are forwarded. */
   eventFramer: EventFramer | undefined
-  delivery: CallerResponse
+  callerResponse: CallerResponse
   cancellation: Cancellation
   /** The head of the response arrived. */
   onResponse: () => void
@@ -121,7 +121,7 @@
   // Must settle before the end of the response does: Node treats a connection reset as the end of a response without a length.
   request.on('error', error => {
     if (!connected) return finish({ type: 'not_sent', detail: error.message })
-    finish({ type: options.delivery.started ? 'interrupted' : 'broken', detail: error.message })
+    finish({ type: options.callerResponse.started ? 'interrupted' : 'broken', detail: error.message })
   })
   request.on('response', response => {
     const feedback = readServerFeedback(response, options.names, options.serverId)
@@ -175,7 +175,7 @@
   response.on('close', () => resolve({ type: 'broken', detail: 'connection closed before the end of the response' }))
 })
 
-const forwardStream = (response: IncomingMessage, status: number, { delivery, eventFramer: framer }: AttemptOptions): Promise<AttemptResult> => new Promise(resolve => {
+const forwardStream = (response: IncomingMessage, status: number, { callerResponse: delivery, eventFramer: framer }: AttemptOptions): Promise<AttemptResult> => new Promise(resolve => {
   if (!delivery.started) delivery.startStream(status, response.rawHeaders)
   let bytes = 0
   const resume = (): void => { response.resume() }
--- a/packages/fleet/src/entry/balancer.ts
+++ b/packages/fleet/src/entry/balancer.ts
@@ -16,7 +16,7 @@
 import type { SideLinks } from './side-links.js'
 
 /** The operations on side process connections that the balancer uses. */
-export type AdapterPlacement = Pick<SideLinks, 'orderable' | 'warm' | 'awaits' | 'want' | 'usesChanged'>
+export type AdapterPlacement = Pick<SideLinks, 'canRequestLoad' | 'warm' | 'isLoadRequested' | 'requestLoad' | 'scheduleUsesReport'>
 
 /**
  * A prompt is taken as uncontended, so that its prefill time is its own, if the tokens still to be prefilled ahead of it are fewer
@@ -57,7 +57,7 @@
 }
 
 export class Balancer {
-  readonly states = new ServerStates(id => this.links().usesChanged(id))
+  readonly states = new ServerStates(id => this.links().scheduleUsesReport(id))
   /** Prefill rate over all engines, from prompts with few tokens to prefill ahead of them. */
   readonly prefillRate = new PrefillRate()
   /** Servers in backoff, or whose concurrency still ramps up after one. */
@@ -85,7 +85,7 @@
    * the other servers of its service.
    */
   choose (selection: SelectionRequest): Choice {
-    if (this.serverLimits.none) return this.#select(selection)
+    if (this.serverLimits.isEmpty) return this.#select(selection)
     const choice = this.#select(selection)
     const server = choice.type === 'send' ? this.facts.servers.get(choice.id) : undefined
     if (server === undefined || this.serverLimits.state(server)?.ready !== false) return choice
@@ -98,10 +98,10 @@
    * have been asked for their unused part of its limit. Resolves with the id of the server if it still may not be sent one.
    */
   async awaitRateLimit (selection: SelectionRequest): Promise<string | undefined> {
-    if (this.serverLimits.none) return undefined
+    if (this.serverLimits.isEmpty) return undefined
     const choice = this.#select(selection)
     const server = choice.type === 'send' ? this.facts.servers.get(choice.id) : undefined
-    return server === undefined || await this.serverLimits.bring(server) ? undefined : server.id
+    return server === undefined || await this.serverLimits.awaitCapacity(server) ? undefined : server.id
   }
 
   /** When the first of the service's rate-limited servers may be sent a request; `undefined` if none of its servers is rate-limited. */
@@ -211,9 +211,9 @@
   }
 
   /** Asks the side process of engine `ask` to load the key. `waiting`: how many requests wait for it. */
-  bring (ask: string, key: string, waiting: number, priority: number): void {
+  requestLoad (ask: string, key: string, waiting: number, priority: number): void {
     const engine = this.facts.servers.get(ask)
-    if (engine !== undefined) this.links().want(engine, key, waiting, priority, this.facts.version(key)?.version)
+    if (engine !== undefined) this.links().requestLoad(engine, key, waiting, priority, this.facts.version(key)?.version)
   }
 
   /** The version of the key that an engine holds; `undefined` if it holds none that may still be used. */
@@ -235,7 +235,7 @@
   #engineSelection (servers: readonly BackendServer[], key: string, selection: SelectionRequest): EngineSelection {
     const now = nowMs()
     const oldestVersion = this.#oldestUsableVersion(key, now)
-    const avoidLimited = !this.serverLimits.none && servers.some(server => this.serverLimits.state(server) === undefined)
+    const avoidLimited = !this.serverLimits.isEmpty && servers.some(server => this.serverLimits.state(server) === undefined)
     const candidates = servers.map(server => this.#engineCandidate(server, key, selection, { now, oldestVersion, avoidLimited }))
     return { candidates, domain: this.domain, key, inTimeMs: selection.inTimeMs }
   }
@@ -279,9 +279,9 @@
       fallback: this.facts.isFallback(server.id),
       holds: (engineReport?.held.get(key) ?? -1) >= oldestVersion,
       expectedMs: state.expectedMs(promptTokens, priority, now),
-      get coming () { return engineReport?.coming.has(key) === true || links.awaits(server, key) },
+      get coming () { return engineReport?.coming.has(key) === true || links.isLoadRequested(server, key) },
       get warm () { return links.warm(server, key) },
-      get canRequestLoad () { return !(avoidLimited && limits.state(server) !== undefined) && links.orderable(server, key) }
+      get canRequestLoad () { return !(avoidLimited && limits.state(server) !== undefined) && links.canRequestLoad(server, key) }
     }
   }
 }
