--- a/packages/fleet/src/entry/crashes.ts
+++ b/packages/fleet/src/entry/crash-tracker.ts
@@ -14,7 +14,7 @@
 import { incarnationOf } from '../incarnation.js'
 import { isEarlierIncarnation, type BackendServer } from '../server.js'
 import type { EntryCounters } from './counters.js'
-import type { TryNewsExchange } from './try-news-exchange.js'
+import type { AttemptReporter } from './attempt-reporter.js'
 import type { ServerLiveness } from './server-liveness.js'
 
 /**
@@ -26,7 +26,7 @@
 const maxUnconfirmed = 500
 
 /** An attempt that failed while its server was running the request. */
-export interface BrokenTry {
+export interface FailedAttempt {
   request: string
   fingerprint: RequestFingerprint
   server: BackendServer
@@ -34,33 +34,33 @@
   sentAt: number
 }
 
-export interface CrashesOptions {
+export interface CrashTrackerOptions {
   facts: Facts
-  ends: ServerLiveness
-  exchange: Pick<TryNewsExchange, 'tell'>
+  liveness: ServerLiveness
+  reporter: Pick<AttemptReporter, 'report'>
   /** Asks a side process for permission to run a request whose quarantine has expired. */
-  askProbe: (fingerprint: RequestFingerprint) => Promise<boolean>
+  requestProbe: (fingerprint: RequestFingerprint) => Promise<boolean>
   /** Called when a request becomes quarantined, as copies of it may be waiting in the queue. */
-  quarantined: () => void
+  onQuarantine: () => void
   counters: EntryCounters
   log: Log
 }
 
-interface TimedFailure extends BrokenTry {
+interface TimedFailure extends FailedAttempt {
   endedAt: number
 }
 
-export class Crashes {
+export class CrashTracker {
   readonly #history = new CrashHistory(quarantineLimits)
   /** Failed attempts whose servers are not known to have crashed, the oldest first. */
   #unconfirmed: TimedFailure[] = []
 
-  constructor (private readonly options: CrashesOptions) {
+  constructor (private readonly options: CrashTrackerOptions) {
     options.facts.onChange(fact => { if (fact.kind === 'server' && fact.value !== undefined) this.#checkReplaced(fact.value) })
   }
 
   /** Whether no request has a record, so that fingerprints need not be computed. */
-  get none (): boolean {
+  get isEmpty (): boolean {
     return this.#history.size === 0
   }
 
@@ -75,14 +75,14 @@
   }
 
   /** Asks for permission to send the request once, as a probe of whether it still crashes its server. Returns whether it was granted. */
-  async probe (fingerprint: RequestFingerprint, request: string): Promise<boolean> {
-    const { askProbe: requestProbe, exchange: reporter, log } = this.options
+  async requestProbe (fingerprint: RequestFingerprint, request: string): Promise<boolean> {
+    const { requestProbe, reporter, log } = this.options
     const granted = await requestProbe(fingerprint)
     log.info('request.probe', { request, fingerprint, granted })
     if (!granted) return false
     const probe = { fingerprint, at: nowMs() }
     this.#history.recordProbe(probe, nowMs())
-    reporter.tell({ ...noReports, probes: [probe] })
+    reporter.report({ ...noReports, probes: [probe] })
     return true
   }
 
@@ -90,8 +90,8 @@
    * Records a failed attempt, and checks whether its server crashed. A server that was draining, or is no longer listed, is
    * expected to stop and is not counted.
    */
-  async brokeOff (failure: BrokenTry): Promise<void> {
-    const { facts, ends: liveness, log } = this.options
+  async brokeOff (failure: FailedAttempt): Promise<void> {
+    const { facts, liveness, log } = this.options
     const { request, fingerprint, server, sentAt } = failure
     const endedAt = nowMs()
     const expected = facts.servers.get(server.id)?.leaving !== false
@@ -115,26 +115,26 @@
 
   /** Records that the servers of these attempts crashed, and reports it to the other entries. */
   #recordOwnCrashes (attempts: readonly TimedFailure[]): void {
-    const { exchange: reporter, counters } = this.options
+    const { reporter, counters } = this.options
     const now = nowMs()
     counters.serverCrashes.inc(attempts.length)
     const crashes = attempts.map(({ fingerprint, server, sentAt, endedAt }) => ({ fingerprint, server: incarnationOf(server), sentAt, endedAt }))
     const reports = { crashes: crashes.filter(crash => this.#history.recordCrash(crash, now)), sound: [], limits: [], probes: [] }
-    reporter.tell(reports)
+    reporter.report(reports)
     this.#announceQuarantines(reports, 'own try')
   }
 
   /** Records that a run of the request completed, which discards its earlier crashes. */
-  endedWell (fingerprint: RequestFingerprint): void {
+  recordCompletion (fingerprint: RequestFingerprint): void {
     const run = { fingerprint, endedAt: nowMs() }
     const quarantined = this.quarantine(fingerprint) !== undefined
     if (!this.#history.sound(run)) return
     if (quarantined) this.#logReleased([fingerprint], 'own try')
-    this.options.exchange.tell({ crashes: [], sound: [run], limits: [], probes: [] })
+    this.options.reporter.report({ crashes: [], sound: [run], limits: [], probes: [] })
   }
 
   /** Records the reports of other entries that a side process relays. */
-  take (frame: FrameOf<'crashes'>, from: string): void {
+  handleReport (frame: FrameOf<'crashes'>, from: string): void {
     const quarantined = frame.sound.map(([fingerprint]) => fingerprint).filter(fingerprint => this.quarantine(fingerprint) !== undefined)
     this.#announceQuarantines(recordCrashes(this.#history, frame), from)
     this.#logReleased(quarantined, from)
@@ -146,13 +146,13 @@
   }
 
   /** Sends everything known to a side process that has connected, since it may have restarted. */
-  greet (side: Channel): void {
+  sendAll (side: Channel): void {
     sendKnownCrashes(this.#history, side)
   }
 
   /** Logs and counts the requests that these crashes quarantine, and triggers a scan of the queue. */
   #announceQuarantines ({ crashes }: Pick<AttemptReports, 'crashes'>, from: string): void {
-    const { counters, log, quarantined: onQuarantine } = this.options
+    const { counters, log, onQuarantine } = this.options
     let any = false
     for (const fingerprint of new Set(crashes.map(crash => crash.fingerprint))) {
       const quarantine = this.quarantine(fingerprint)
--- a/packages/fleet/src/entry/earned-tokens.ts
+++ b/packages/fleet/src/entry/earned-tokens.ts
@@ -33,21 +33,21 @@
 
   /** Tokens that may be spent now, without those earned since the last call of `earn`. */
   get total (): number {
-    return this.#stock.total(this.since)
+    return this.#stock.total(this.expiryCutoff)
   }
 
   /** Takes exactly `tokens`, or none if there are fewer. */
   take (tokens: number): TokenSlice[] | undefined {
     this.earn()
-    return this.#stock.take(tokens, this.since)
+    return this.#stock.take(tokens, this.expiryCutoff)
   }
 
   /** Takes `tokens`, or as many as there are, the oldest first. */
   takeUpTo (tokens: number): TokenSlice[] {
-    return this.#stock.takeUpTo(tokens, this.since)
+    return this.#stock.takeUpTo(tokens, this.expiryCutoff)
   }
 
-  give (slices: readonly TokenSlice[]): void {
+  addAll (slices: readonly TokenSlice[]): void {
     this.#stock.addAll(slices)
   }
 
@@ -57,13 +57,13 @@
   }
 
   /** How long a token may be spent after it was earned. */
-  get lifeMs (): number {
+  get lifetimeMs (): number {
     return tokenLifetimeMs(this.#rate, this.bound())
   }
 
   /** Tokens earned before this time have expired. */
-  get since (): number {
-    return boottimeMs() - this.lifeMs
+  get expiryCutoff (): number {
+    return boottimeMs() - this.lifetimeMs
   }
 
   /** Adds the tokens earned since the last call. */
@@ -71,7 +71,7 @@
     const now = boottimeMs()
     this.#skipSuspension(now)
     const perMs = this.ownRate / 1000
-    let from = Math.max(this.#earnedAt, this.since)
+    let from = Math.max(this.#earnedAt, this.expiryCutoff)
     while (from < now) {
       const until = Math.min(now, from + earnStepMs)
       this.#stock.add((until - from) * perMs, from)
--- a/packages/fleet/src/entry/entry-ceiling.ts
+++ b/packages/fleet/src/entry/entry-count-bound.ts
@@ -16,7 +16,7 @@
 /** Minimum of the bound until the warm-up is over and a count is known. */
 const minAssumedEntries = 12
 
-export class EntryCeiling {
+export class EntryCountBound {
   readonly #startedAt = nowMs()
   /** Highest counts of the current and the previous window. */
   #max = 0
@@ -24,7 +24,7 @@
   #windowStart = nowMs()
 
   /** Updates and returns the bound. `counted`: current count from side processes; `servers`: number of known backend servers. */
-  of (counted: number | undefined, servers: number): number {
+  update (counted: number | undefined, servers: number): number {
     const now = nowMs()
     if (now - this.#windowStart > windowMs) {
       this.#previousMax = this.#max
--- a/packages/fleet/src/entry/entry.ts
+++ b/packages/fleet/src/entry/entry-process.ts
@@ -19,15 +19,15 @@
 import { Balancer } from './balancer.js'
 import { CallerConnections } from './caller-connections.js'
 import { ConnectTimeout } from './connect-timeout.js'
-import { TryNewsExchange } from './try-news-exchange.js'
-import { Crashes } from './crashes.js'
+import { AttemptReporter } from './attempt-reporter.js'
+import { CrashTracker } from './crash-tracker.js'
 import { EntryCounters } from './counters.js'
 import { FirstAttemptEstimator } from './first-attempt-estimator.js'
 import { KeyLease } from './key-lease.js'
-import { EntryCeiling } from './entry-ceiling.js'
+import { EntryCountBound } from './entry-count-bound.js'
 import { LeaseKeeper } from './lease-keeper.js'
 import { outageRetryAfterMs } from './local-replies.js'
-import { ProbeExchange } from './probe-exchange.js'
+import { ProbeRequester } from './probe-requester.js'
 import { QuotaExchange } from './quota-exchange.js'
 import { Quotas } from './quotas.js'
 import { RetryBudget } from './retry-budget.js'
@@ -62,7 +62,7 @@
 /** Reserved at the end of the grace period, so that the process can exit before it is killed. */
 const exitReserveMs = 700
 
-export interface FleetEntryOptions {
+export interface EntryProcessOptions {
   process: string
   domain: string
   sidePort: number
@@ -70,14 +70,14 @@
   ownPeerAddress: string
   sources: FactSource[]
   facts: Facts
-  names: HeaderNames
+  headerNames: HeaderNames
   limits: () => Limits
   channel: ChannelOptions
   dial: (address: string) => Promise<Duplex>
   log: Log
 }
 
-export class FleetEntry {
+export class EntryProcess {
   readonly counters = new EntryCounters()
   readonly server: Server
   readonly #balancer: Balancer
@@ -91,7 +91,7 @@
   readonly #keyLease: KeyLease
   readonly #leaseKeeper: LeaseKeeper
   readonly #tableConfirmation: TableConfirmation
-  readonly #entryCeiling = new EntryCeiling()
+  readonly #entryCeiling = new EntryCountBound()
   /** Upper bound of the number of entries, as of the last sweep. */
   #maxEntries: number
   readonly #quotas: Quotas
@@ -101,9 +101,9 @@
   readonly #serverFaults: ServerFaults
   readonly #serverLimits: ServerLimits
   readonly #feedbackHandler: ServerFeedbackHandler
-  readonly #crashes: Crashes
-  readonly #attemptReports: TryNewsExchange
-  readonly #probes: ProbeExchange
+  readonly #crashes: CrashTracker
+  readonly #attemptReports: AttemptReporter
+  readonly #probes: ProbeRequester
   readonly #stop = new AbortController()
   readonly #startedAt = nowMs()
   #stopping = false
@@ -111,17 +111,17 @@
   #stoppedListening = false
   #running = 0
 
-  constructor (private readonly options: FleetEntryOptions) {
+  constructor (private readonly options: EntryProcessOptions) {
     const { facts, domain, limits, log, process, sidePort, channel, dial, sources } = options
     this.#keyLease = new KeyLease(facts, limits)
-    this.#maxEntries = this.#entryCeiling.of(undefined, 0)
-    this.#attemptReports = new TryNewsExchange({ places: () => this.#sideLinks.places, channelTo: host => this.#sideLinks.channelTo(host), log })
+    this.#maxEntries = this.#entryCeiling.update(undefined, 0)
+    this.#attemptReports = new AttemptReporter({ sideProcesses: () => this.#sideLinks.sideProcesses, channelTo: host => this.#sideLinks.channelTo(host), log })
     this.#serverLimits = new ServerLimits({
       entries: () => this.#maxEntries,
-      exchange: this.#attemptReports,
-      exchanged: async () => await this.#quotaExchange.exchanged(),
+      reporter: this.#attemptReports,
+      exchangeNow: async () => await this.#quotaExchange.exchangeNow(),
       waiting: service => this.#queue.limitedAhead(service, Infinity),
-      changed: () => this.#queue.scheduleScan(),
+      onChange: () => this.#queue.scheduleScan(),
       counters: this.counters,
       log
     })
@@ -136,40 +136,40 @@
       dial,
       log,
       watching: () => this.#storeWatch.watching,
-      prove: () => this.#storeWatch.prove(),
-      changed: keys => this.#queue.scheduleScan(keys),
-      granted: (host, channel, frame) => this.#quotaExchange.take(host, channel, frame),
+      ensureProof: () => this.#storeWatch.ensureProof(),
+      onEngineChange: keys => this.#queue.scheduleScan(keys),
+      granted: (host, channel, frame) => this.#quotaExchange.handleGrant(host, channel, frame),
       crashes: (frame, from) => {
-        this.#crashes.take(frame, from)
-        this.#serverLimits.take(frame, from)
+        this.#crashes.handleReport(frame, from)
+        this.#serverLimits.handleReport(frame, from)
       },
-      crashesNoted: (host, stamp, granted) => {
-        this.#attemptReports.noted(host, stamp)
-        this.#probes.noted(host, stamp, granted)
+      onReportAcknowledged: (host, stamp, granted) => {
+        this.#attemptReports.handleAck(host, stamp)
+        this.#probes.handleAnswer(host, stamp, granted)
       },
-      joinedNear: side => {
-        this.#crashes.greet(side)
-        this.#serverLimits.greet(side)
+      onLocalConnect: side => {
+        this.#crashes.sendAll(side)
+        this.#serverLimits.sendAll(side)
       },
-      appointmentsChanged: () => this.#storeWatch.check()
+      onAppointmentsChange: () => this.#storeWatch.check()
     })
     this.#storeWatch = new StoreWatch({
       sources,
       facts,
       log,
-      restMs: kind => this.#watchPauseMs(kind),
-      unproven: () => this.#keyLease.watchDue,
+      pauseMs: kind => this.#watchPauseMs(kind),
+      lacksProof: () => this.#keyLease.watchDue,
       appointments: () => this.#sideLinks.appointments,
-      changed: () => this.#sideLinks.watchingChanged()
+      onDutyChange: () => this.#sideLinks.updateFactDelay()
     })
-    this.#quotas = new Quotas({ limits, entries: () => this.#maxEntries, bring: (team, tokens) => this.#quotaExchange.bring(team, tokens) })
+    this.#quotas = new Quotas({ limits, entries: () => this.#maxEntries, requestTokens: (team, tokens) => this.#quotaExchange.requestTokens(team, tokens) })
     this.#quotaExchange = new QuotaExchange({ quotas: this.#quotas, serverLimits: this.#serverLimits, hosts: () => this.#sideLinks.hosts, channelTo: host => this.#sideLinks.channelTo(host), log })
     this.#leaseKeeper = new LeaseKeeper({ lease: this.#keyLease, facts, links: this.#sideLinks, watch: this.#storeWatch, log })
     this.#tableConfirmation = new TableConfirmation({ facts, limits, links: this.#sideLinks, watch: this.#storeWatch })
     this.#feedbackHandler = new ServerFeedbackHandler({ facts, balancer: this.#balancer, queue: this.#queue, serverLimits: this.#serverLimits })
     this.#serverFaults = new ServerFaults(this.#balancer, this.counters, log)
-    this.#probes = new ProbeExchange({ hosts: () => this.#sideLinks.hosts, channelTo: host => this.#sideLinks.channelTo(host), log })
-    this.#crashes = new Crashes({ facts, ends: new ServerLiveness(), exchange: this.#attemptReports, askProbe: async fingerprint => await this.#probes.ask(fingerprint), quarantined: () => this.#queue.scheduleScan(), counters: this.counters, log })
+    this.#probes = new ProbeRequester({ hosts: () => this.#sideLinks.hosts, channelTo: host => this.#sideLinks.channelTo(host), log })
+    this.#crashes = new CrashTracker({ facts, liveness: new ServerLiveness(), reporter: this.#attemptReports, requestProbe: async fingerprint => await this.#probes.ask(fingerprint), onQuarantine: () => this.#queue.scheduleScan(), counters: this.counters, log })
     this.#retryBudget = new RetryBudget(limits, () => this.#sideLinks.entries)
     this.server = createServer({ maxHeaderSize: maxHeaderBytes, connectionsCheckingInterval: 1000, requestTimeout: 0 })
     this.#callerConnections = new CallerConnections(this.server)
@@ -178,7 +178,7 @@
     this.counters.gauge('finchpitch_requests_waiting', 'Requests waiting at the entry.', () => this.#queue.size)
     this.counters.gauge('finchpitch_servers_resting', 'Backend servers that asked this entry to back off.', () => this.#balancer.serversInBackoff)
     this.counters.gauge('finchpitch_servers_limited', 'Backend servers that advertise a rate limit.', () => this.#serverLimits.size)
-    this.counters.gauge('finchpitch_side_processes_connected', 'Side processes connected.', () => this.#sideLinks.connected)
+    this.counters.gauge('finchpitch_side_processes_connected', 'Side processes connected.', () => this.#sideLinks.connectedCount)
     this.counters.gauge('finchpitch_store_watched', 'Whether this entry watches the platform\'s store.', () => Number(this.#storeWatch.watching))
     this.counters.gauge('finchpitch_routing_table_version', 'Version of the current routing table.', () => facts.routes?.table.version ?? 0)
     this.counters.gauge('finchpitch_table_proof_age_seconds', 'Age in seconds of the last proof that the routing table is current; 0 if there is none.', () => Number.isFinite(facts.freshness.ageMs) ? facts.freshness.ageMs / 1000 : 0)
@@ -195,12 +195,12 @@
   }
 
   /** How long a server whose store entry vanished is kept as a fallback. */
-  get reserveMs (): number {
+  get fallbackRetentionMs (): number {
     return fallbackRetentionMs(this.#watchPauseMs('server'), this.options.limits().drainMs)
   }
 
   /** Why this process is not ready for callers; `undefined` if it is. */
-  get unready (): string | undefined {
+  get notReadyReason (): string | undefined {
     if (this.#stopping) return 'stopping'
     if (this.options.facts.routes === undefined) return 'no routing table yet'
     if (!this.#keyLease.held) return 'keys are not confirmed'
@@ -214,7 +214,7 @@
     this.#storeWatch.run(signal)
     void this.#quotaExchange.run(signal)
     for (const seed of this.options.seeds()) void this.#keepSeedConnection(seed)
-    void this.#sideLinks.tend(signal)
+    void this.#sideLinks.run(signal)
     void this.#sweep()
   }
 
@@ -243,11 +243,11 @@
   }
 
   async #serve (request: import('node:http').IncomingMessage, response: import('node:http').ServerResponse): Promise<void> {
-    const { facts, names, log } = this.options
+    const { facts, headerNames: names, log } = this.options
     this.#running += 1
     try {
       const serviceRequest = new ServiceRequest({
-        facts, balancer: this.#balancer, room: this.#queue, budget: this.#retryBudget, faults: this.#serverFaults, serverLimits: this.#serverLimits, words: this.#feedbackHandler, crashes: this.#crashes, connects: this.#connectTimeout, lease: this.#keyLease, quotas: this.#quotas, confirmation: this.#tableConfirmation, staleTableRetryMs: () => this.#leaseKeeper.retryMs, firstAttempts: this.#firstAttempts, names, counters: this.counters, log, stopping: this.#stoppedListening, tableLoaded: () => this.#awaitTable(), noTableRetryMs: () => this.#noTableRetryMs, closeAfterResponse: () => this.#stopping || !this.#keyLease.held || this.#callerConnections.shouldClose(request.socket)
+        facts, balancer: this.#balancer, queue: this.#queue, budget: this.#retryBudget, faults: this.#serverFaults, serverLimits: this.#serverLimits, feedbackHandler: this.#feedbackHandler, crashes: this.#crashes, connectTimeout: this.#connectTimeout, lease: this.#keyLease, quotas: this.#quotas, confirmation: this.#tableConfirmation, staleTableRetryMs: () => this.#leaseKeeper.retryMs, firstAttempts: this.#firstAttempts, names, counters: this.counters, log, stopping: this.#stoppedListening, tableLoaded: () => this.#awaitTable(), noTableRetryMs: () => this.#noTableRetryMs, closeAfterResponse: () => this.#stopping || !this.#keyLease.held || this.#callerConnections.shouldClose(request.socket)
       }, request, response)
       await serviceRequest.serve()
     } catch (error) {
@@ -259,7 +259,7 @@
   }
 
   #watchPauseMs (kind: Fact['kind']): number {
-    return watchPauseMs(kind, this.#sideLinks.watchers ?? 1, this.options.limits().drainMs)
+    return watchPauseMs(kind, this.#sideLinks.watcherCount ?? 1, this.options.limits().drainMs)
   }
 
   /**
@@ -297,7 +297,7 @@
     if (limits === undefined) return
     this.server.headersTimeout = limits.headerTimeoutMs
     this.server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveSlackMs
-    this.#quotas.follow(this.options.facts.routes?.table.teams ?? [])
+    this.#quotas.setTeams(this.options.facts.routes?.table.teams ?? [])
     this.#reconcile()
   }
 
@@ -313,7 +313,7 @@
       this.#storeWatch.check()
       this.#seedDuty.setActive(this.#needsSeeds)
       const { entries } = this.#sideLinks
-      this.#maxEntries = this.#entryCeiling.of(entries, this.options.facts.servers.size)
+      this.#maxEntries = this.#entryCeiling.update(entries, this.options.facts.servers.size)
       this.#updateEntryCount(entries ?? 0)
     }
   }
@@ -360,7 +360,7 @@
     const channel = new Channel(stream, this.options.channel)
     const check = setInterval(() => { if (!needed()) channel.close() }, seedCheckIntervalMs)
     const link = new FactLink(facts, channel, forwardDelayMs.entry, log)
-    void channel.greeted.then(welcome => {
+    void channel.helloReceived.then(welcome => {
       if (!welcome) return
       link.start(forwardDelayMs.newcomer)
       log.info('peer.joined', { peer: channel.peer.process })
--- a/packages/fleet/src/entry/incoming-request.ts
+++ b/packages/fleet/src/entry/incoming-request.ts
@@ -2,7 +2,7 @@
  * A request as received from a caller: the headers that decide how it is handled, parsed once, and the body.
  */
 import type { IncomingMessage } from 'node:http'
-import { longestAdapterKey } from '@finchpitch/wire'
+import { maxAdapterKeyLength } from '@finchpitch/wire'
 import { err, ok, type Result } from 'neverthrow'
 import type { HeaderNames } from '../ports.js'
 import { headerOf } from './header.js'
@@ -41,7 +41,7 @@
 
   /** The model key is too long for any engine. */
   get hasInvalidModel (): boolean {
-    return this.model !== undefined && this.model.length > longestAdapterKey
+    return this.model !== undefined && this.model.length > maxAdapterKeyLength
   }
 
   /** Reads the body, of at most `limit` bytes. */
--- a/packages/fleet/src/entry/lease-keeper.ts
+++ b/packages/fleet/src/entry/lease-keeper.ts
@@ -23,8 +23,8 @@
 export interface LeaseKeeperOptions {
   lease: KeyLease
   facts: Facts
-  links: Pick<SideLinks, 'askFresh' | 'outage'>
-  watch: Pick<StoreWatch, 'prove' | 'watching'>
+  links: Pick<SideLinks, 'requestProof' | 'outage'>
+  watch: Pick<StoreWatch, 'ensureProof' | 'watching'>
   log: Log
 }
 
@@ -55,8 +55,8 @@
     const now = nowMs()
     if (!lease.proofDue || now - this.#requestedAt < (lease.held ? requestIntervalMs : expiredRequestIntervalMs)) return
     this.#requestedAt = now
-    void watch.prove()
-    if (!watch.watching || lease.remoteProofDue) links.askFresh(lease.remoteProofDue)
+    void watch.ensureProof()
+    if (!watch.watching || lease.remoteProofDue) links.requestProof(lease.remoteProofDue)
   }
 
   #logChange (): void {
--- a/packages/fleet/src/entry/limit-account.ts
+++ b/packages/fleet/src/entry/limit-account.ts
@@ -41,7 +41,7 @@
   }
 
   /** Counts a request that selected the server. */
-  demand (): void {
+  recordDemand (): void {
     this.#demand.add(1, boottimeMs())
   }
 
@@ -52,12 +52,12 @@
   }
 
   /** Whether other entries may have tokens to spare, so that an exchange makes sense now. */
-  get askable (): boolean {
+  get canExchange (): boolean {
     return this.#shortageAt === undefined || boottimeMs() - this.#shortageAt >= shortageMs
   }
 
   /** Counts a request as waiting while the exchange runs, so that the exchange asks for its token. */
-  async asking (exchange: () => Promise<unknown>): Promise<void> {
+  async awaitExchange (exchange: () => Promise<unknown>): Promise<void> {
     this.#waiting += 1
     await exchange()
     this.#waiting -= 1
@@ -69,8 +69,8 @@
   }
 
   /** Adds tokens that were granted, or that belong to a request that was not sent. */
-  give (slices: readonly TokenSlice[]): void {
-    this.#tokens.give(slices)
+  deposit (slices: readonly TokenSlice[]): void {
+    this.#tokens.addAll(slices)
   }
 
   /** How many requests this entry is short of. `queued`: requests in the queue that count towards this server. */
@@ -86,7 +86,7 @@
 
   /** Adds what other entries granted of the `asked` requests. */
   granted (slices: readonly TokenSlice[], asked: number): void {
-    this.give(slices)
+    this.deposit(slices)
     const now = boottimeMs()
     const received = slices.reduce((sum, { tokens }) => sum + tokens, 0)
     this.#granted.add(received, now)
@@ -105,8 +105,8 @@
     return this.#shortageAt === undefined ? this.limit : this.#tokens.ownRate + rateOf(this.#granted)
   }
 
-  get lifeMs (): number {
-    return this.#tokens.lifeMs
+  get lifetimeMs (): number {
+    return this.#tokens.lifetimeMs
   }
 
   /**
--- a/packages/fleet/src/entry/local-replies.ts
+++ b/packages/fleet/src/entry/local-replies.ts
@@ -32,7 +32,7 @@
 
 export interface LocalRepliesOptions {
   incoming: IncomingRequest
-  delivery: CallerResponse
+  callerResponse: CallerResponse
   record: RequestRecord
   names: HeaderNames
   /** `Retry-After` while the table can't be proven fresh. */
@@ -75,7 +75,7 @@
 
   /** The request may have run. */
   fail (status: 502 | 504, reason: string): string {
-    const { record, delivery } = this.options
+    const { record, callerResponse: delivery } = this.options
     record.reason = reason
     delivery.sendLocalReply(status, {}, `may have run: ${reason}`)
     return 'failed'
@@ -90,14 +90,14 @@
 
   /** Rejects the request for good. */
   end (reason: FinalReason): string {
-    const { incoming, delivery } = this.options
+    const { incoming, callerResponse: delivery } = this.options
     incoming.message.resume()
     delivery.sendLocalReply(finalStatuses[reason], {}, finalMessages[reason])
     return reason
   }
 
   #rejectNotRun (status: 429 | 503, reason: string, message: string, retryAfterMs: number): void {
-    const { incoming, record, delivery, names } = this.options
+    const { incoming, record, callerResponse: delivery, names } = this.options
     // Drains the body: unread bytes would precede the next request on this connection.
     incoming.message.resume()
     record.reason = reason
--- a/packages/fleet/src/entry/probe-exchange.ts
+++ b/packages/fleet/src/entry/probe-requester.ts
@@ -7,14 +7,14 @@
 import { pause, type Log, type RequestFingerprint } from '@finchpitch/core'
 import type { Channel } from '@finchpitch/wire'
 import { nowMs, afterSocketReads } from '../clock.js'
-import { MeetingPlace } from './meeting-place.js'
+import { RendezvousSelector } from './rendezvous-selector.js'
 
 /** Side processes answer within a few ms, also across domains. */
 const answerTimeoutMs = 400
 /** A side process that didn't answer is skipped for this long. */
 const skipMs = 5000
 
-export interface ProbeExchangeOptions {
+export interface ProbeRequesterOptions {
   /** Hosts of all side processes. */
   hosts: () => readonly string[]
   /** The channel to a side process; starts to open one if there is none. */
@@ -28,13 +28,13 @@
   answered: AbortController
 }
 
-export class ProbeExchange {
-  readonly #rendezvous = new MeetingPlace({ matter: 'probes', passedByMs: skipMs, now: nowMs })
+export class ProbeRequester {
+  readonly #rendezvous = new RendezvousSelector({ purpose: 'probes', skipMs, now: nowMs })
   /** By the stamps of their frames. These are negative, to distinguish them from the stamps of attempt reports. */
   readonly #pending = new Map<number, PendingRequest>()
   #stamp = 0
 
-  constructor (private readonly options: ProbeExchangeOptions) {}
+  constructor (private readonly options: ProbeRequesterOptions) {}
 
   /** Returns whether this entry may send the request. */
   async ask (fingerprint: RequestFingerprint): Promise<boolean> {
@@ -57,7 +57,7 @@
   }
 
   /** Handles the answer of the side process at `host` to the frame with this stamp. */
-  noted (host: string, stamp: number, granted: boolean): void {
+  handleAnswer (host: string, stamp: number, granted: boolean): void {
     const pending = this.#pending.get(stamp)
     if (pending?.host !== host) return
     pending.granted = granted
@@ -65,7 +65,7 @@
   }
 
   #skip (host: string): void {
-    this.#rendezvous.passBy(host)
+    this.#rendezvous.skip(host)
     this.options.log.info('probe.not_answered', { host })
   }
 }
--- a/packages/fleet/src/entry/quota-exchange.ts
+++ b/packages/fleet/src/entry/quota-exchange.ts
@@ -8,9 +8,9 @@
 import { setMaxListeners } from 'node:events'
 import { sliceAgeMs, totalTokens, type TokenSlice } from '@finchpitch/decisions'
 import { pause, type Log } from '@finchpitch/core'
-import type { Channel, FrameOf, TokenAge } from '@finchpitch/wire'
+import type { Channel, FrameOf, AgedTokens } from '@finchpitch/wire'
 import { boottimeMs, afterSocketReads } from '../clock.js'
-import { MeetingPlace } from './meeting-place.js'
+import { RendezvousSelector } from './rendezvous-selector.js'
 import type { Quotas, TeamAccount } from './quotas.js'
 import type { LimitsView } from './server-limits.js'
 
@@ -55,7 +55,7 @@
 
 export class QuotaExchange {
   #bank: string | undefined
-  readonly #rendezvous = new MeetingPlace({ matter: 'quota', passedByMs: skipMs, now: boottimeMs })
+  readonly #rendezvous = new RendezvousSelector({ purpose: 'quota', skipMs, now: boottimeMs })
   /** By channel, since a restarted side process has another clock. */
   readonly #echoes = new WeakMap<Channel, Echo>()
   /** By team, when an exchange last brought it too few tokens. */
@@ -86,14 +86,14 @@
   }
 
   /** Requests tokens at once. Resolves when that is answered or times out. Returns whether it may be repeated. */
-  async bring (team: string, tokens: number): Promise<boolean> {
+  async requestTokens (team: string, tokens: number): Promise<boolean> {
     if (this.#hasShortage(team)) return false
     this.#urgent.set(team, tokens + (this.#urgent.get(team) ?? 0))
-    return await this.exchanged() && !this.#hasShortage(team)
+    return await this.exchangeNow() && !this.#hasShortage(team)
   }
 
   /** Requests at once whatever this entry is short of. Resolves when that is answered or times out. Returns whether it was answered. */
-  async exchanged (): Promise<boolean> {
+  async exchangeNow (): Promise<boolean> {
     const { signal } = this.#nextAnswered
     this.#sendRequested = true
     if (this.#sentAt === undefined) this.#send()
@@ -104,7 +104,7 @@
   }
 
   /** Handles an answer of the side process at `host`. Grants count even if it is no longer the bank. */
-  take (host: string, channel: Channel, frame: FrameOf<'quota_grant'>): void {
+  handleGrant (host: string, channel: Channel, frame: FrameOf<'quota_grant'>): void {
     const now = boottimeMs()
     this.#echoes.set(channel, { stamp: frame.bankStamp, receivedAt: now })
     const granted = slicesOf(frame.grants, frame.stamp, now)
@@ -126,7 +126,7 @@
   }
 
   async #tick (): Promise<void> {
-    if (this.options.quotas.accounts.size === 0 && this.options.serverLimits.none) return
+    if (this.options.quotas.accounts.size === 0 && this.options.serverLimits.isEmpty) return
     // After a stall of this process, the answer may be waiting in the socket.
     if (this.#overdue) await afterSocketReads()
     if (this.#overdue) this.#skipBank()
@@ -138,7 +138,7 @@
   }
 
   #skipBank (): void {
-    if (this.#bank !== undefined) this.#rendezvous.passBy(this.#bank)
+    if (this.#bank !== undefined) this.#rendezvous.skip(this.#bank)
     this.#sentAt = undefined
   }
 
@@ -164,7 +164,7 @@
   #buildFrame (channel: Channel): FrameOf<'quota'> {
     const now = boottimeMs()
     const echo = this.#echoes.get(channel)
-    const gives: TokenAge[] = []
+    const gives: AgedTokens[] = []
     const wants: Array<[string, number]> = []
     const surplus: Array<[team: string, account: TeamAccount]> = []
     for (const [team, account] of this.options.quotas.accounts) {
@@ -187,15 +187,15 @@
   /** The part of a frame about servers' limits. Without an echo nothing is given, as the bank can't bound the transit time. */
   #limitsPart (giving: boolean): Pick<FrameOf<'quota'>, 'servers'> {
     const { serverLimits } = this.options
-    if (serverLimits.none) return {}
-    const { gives, wants } = serverLimits.offers(giving)
+    if (serverLimits.isEmpty) return {}
+    const { gives, wants } = serverLimits.prepareExchange(giving)
     this.#askedByLimit = new Map(wants.map(([limit, count]) => [limit, count]))
     return { servers: { gives, wants } }
   }
 }
 
 /** Granted tokens by team or limit, on this process's clock. Their ages hold for the time of the answer, which is later than the stamp. */
-const slicesOf = (grants: readonly TokenAge[], stamp: number, now: number): Map<string, TokenSlice[]> => {
+const slicesOf = (grants: readonly AgedTokens[], stamp: number, now: number): Map<string, TokenSlice[]> => {
   const byName = new Map<string, TokenSlice[]>()
   for (const [name, tokens, ageMs] of grants) {
     const slices = byName.get(name) ?? []
--- a/packages/fleet/src/entry/quotas.ts
+++ b/packages/fleet/src/entry/quotas.ts
@@ -32,7 +32,7 @@
 const retryRange = { minMs: 100, maxMs: 5000 }
 
 /** Tokens of prompt and answer together, as stated by the request in the form `prompt,answer`; `defaultTokens` if it states none. */
-export const tokensOf = (stated: string | undefined, defaultTokens: number): number => {
+export const statedTokens = (stated: string | undefined, defaultTokens: number): number => {
   const [tokensIn, tokensOut] = (stated ?? '').split(',').map(Number)
   const sum = (tokensIn ?? NaN) + (tokensOut ?? NaN)
   return Number.isFinite(sum) && sum >= 0 ? sum : defaultTokens
@@ -40,7 +40,7 @@
 
 /** What one request costs, in the unit of the quota. */
 export const costOf = ({ unit, plainTokens }: Quota, stated: string | undefined): number =>
-  unit === 'requests' ? 1 : tokensOf(stated, plainTokens)
+  unit === 'requests' ? 1 : statedTokens(stated, plainTokens)
 
 /** Tokens reserved for one request. */
 export interface Reservation {
@@ -66,7 +66,7 @@
   }
 
   /** Counts the tokens that a request costs as demand. */
-  demand (tokens: number): void {
+  recordDemand (tokens: number): void {
     this.#demand.add(tokens, boottimeMs())
     this.#averageSize += (tokens - this.#averageSize) * sizeWeight
   }
@@ -77,19 +77,19 @@
   }
 
   /** Adds tokens that were granted, or that belong to a request that was not sent. */
-  give (slices: readonly TokenSlice[]): void {
-    this.#tokens.give(slices)
+  deposit (slices: readonly TokenSlice[]): void {
+    this.#tokens.addAll(slices)
   }
 
   /** Adds tokens that other entries gave, and counts them for the estimate of when more are available. */
   granted (slices: readonly TokenSlice[]): void {
-    this.give(slices)
+    this.deposit(slices)
     for (const { tokens } of slices) this.#granted.add(tokens, boottimeMs())
   }
 
   /** Whether reserved tokens have not expired. */
-  lasts (slices: readonly TokenSlice[]): boolean {
-    return slices.every(slice => slice.earnedAt >= this.#tokens.since)
+  isValid (slices: readonly TokenSlice[]): boolean {
+    return slices.every(slice => slice.earnedAt >= this.#tokens.expiryCutoff)
   }
 
   /** How many tokens this entry is short of, for a waiting request of `waitingTokens` and for its reserve. */
@@ -121,7 +121,7 @@
    * each team at each entry would have to wait for an exchange, and one side process would get 700 of those per second.
    */
   get #reserve (): number {
-    const { ownRate, lifeMs: lifetimeMs } = this.#tokens
+    const { ownRate, lifetimeMs } = this.#tokens
     const requests = Math.min(reserveRequests * this.#averageSize, ownRate * lifetimeMs / 1000 * maxReserveShare)
     return Math.max(rateOf(this.#demand) * reserveMs / 1000, ownRate * reserveMs / 1000, requests)
   }
@@ -135,7 +135,7 @@
   /** An upper bound of the number of entries. */
   entries: () => number
   /** Requests tokens from other entries at once. Resolves when that is answered or times out. Returns whether it may be repeated. */
-  bring: (team: string, tokens: number) => Promise<boolean>
+  requestTokens: (team: string, tokens: number) => Promise<boolean>
 }
 
 export class Quotas {
@@ -148,7 +148,7 @@
   }
 
   /** Applies the teams of a new table. Accounts are created before the first request, so that they earn tokens for it. */
-  follow (teams: readonly FleetTeam[]): void {
+  setTeams (teams: readonly FleetTeam[]): void {
     const { limits, entries } = this.options
     const teamQuotas = new Map(teams.flatMap(({ name, quota }) => quota === undefined ? [] : [[name, quota] as const]))
     for (const name of this.#accounts.keys()) if (!teamQuotas.has(name)) this.#accounts.delete(name)
@@ -164,26 +164,26 @@
     const account = this.#accounts.get(team.name)
     if (account === undefined || team.quota === undefined) return { team: team.name, slices: [], spent: false }
     const tokens = costOf(team.quota, stated)
-    account.demand(tokens)
+    account.recordDemand(tokens)
     const taken = account.take(tokens) ?? await this.#requestTokens(account, team.name, tokens)
     return taken === undefined ? account.readyInMs(tokens) : { team: team.name, slices: taken, spent: false }
   }
 
   /** Whether the reservation is for this team and its tokens have not expired. */
-  lasts ({ team, slices }: Reservation, { name }: FleetTeam): boolean {
-    return team === name && this.#accounts.get(team)?.lasts(slices) !== false
+  isValid ({ team, slices }: Reservation, { name }: FleetTeam): boolean {
+    return team === name && this.#accounts.get(team)?.isValid(slices) !== false
   }
 
   /** Spends the reservation just before the request is sent, with fresh tokens if it has expired. Returns whether there were enough. */
   spend (reservation: Reservation): boolean {
     const account = this.#accounts.get(reservation.team)
-    if (reservation.spent || account === undefined || account.lasts(reservation.slices)) {
+    if (reservation.spent || account === undefined || account.isValid(reservation.slices)) {
       reservation.spent = true
       return true
     }
     const fresh = account.take(totalTokens(reservation.slices))
     if (fresh === undefined) return false
-    account.give(reservation.slices)
+    account.deposit(reservation.slices)
     reservation.slices = fresh
     reservation.spent = true
     return true
@@ -192,13 +192,13 @@
   /** Returns the tokens of a request that was not sent. */
   release (reservation: Reservation): void {
     if (reservation.spent) return
-    this.#accounts.get(reservation.team)?.give(reservation.slices)
+    this.#accounts.get(reservation.team)?.deposit(reservation.slices)
     reservation.slices = []
   }
 
   async #requestTokens (account: TeamAccount, team: string, tokens: number): Promise<TokenSlice[] | undefined> {
     for (let attempt = 0; attempt < maxTokenRequests; attempt++) {
-      const mayRepeat = await this.options.bring(team, tokens)
+      const mayRepeat = await this.options.requestTokens(team, tokens)
       const taken = account.take(tokens)
       if (taken !== undefined || !mayRepeat) return taken
     }
--- a/packages/fleet/src/entry/meeting-place.ts
+++ b/packages/fleet/src/entry/rendezvous-selector.ts
@@ -8,26 +8,26 @@
 import { rendezvousScore, hashOf } from '@finchpitch/decisions'
 import { minBy } from '../min-by.js'
 
-export interface MeetingPlaceOptions {
+export interface RendezvousSelectorOptions {
   /** Seed of the hash, so that different purposes are spread over different hosts. */
-  matter: string
+  purpose: string
   /** How long a host that didn't answer is skipped. */
-  passedByMs: number
+  skipMs: number
   /** The clock on which this is measured. */
   now: () => number
 }
 
-export class MeetingPlace {
+export class RendezvousSelector {
   readonly #hash: number
   /** Hosts that didn't answer, and until when they are skipped. */
   readonly #skippedUntil = new Map<string, number>()
 
-  constructor (private readonly options: MeetingPlaceOptions) {
-    this.#hash = hashOf(options.matter)
+  constructor (private readonly options: RendezvousSelectorOptions) {
+    this.#hash = hashOf(options.purpose)
   }
 
-  passBy (host: string): void {
-    this.#skippedUntil.set(host, this.options.now() + this.options.passedByMs)
+  skip (host: string): void {
+    this.#skippedUntil.set(host, this.options.now() + this.options.skipMs)
   }
 
   /** Of the `hosts` that aren't skipped, the first in rendezvous order. */
--- a/packages/fleet/src/entry/request-admission.ts
+++ b/packages/fleet/src/entry/request-admission.ts
@@ -47,7 +47,7 @@
       if (admission.type === 'admitted' || !isFinalDenial(admission.reason) || confirmation.isCurrent(this.#arrivedAt)) return admission
       const leftMs = waitUntil - nowMs()
       if (leftMs <= 0) return { ...admission, reason: 'table_not_confirmed' }
-      await confirmation.nextProof(leftMs)
+      await confirmation.awaitProof(leftMs)
     }
   }
 
@@ -56,7 +56,7 @@
     const { quotas } = this.options
     const known = this.#reservation
     if (team?.quota === undefined || known?.spent === true) return undefined
-    if (known !== undefined && quotas.lasts(known, team)) return undefined
+    if (known !== undefined && quotas.isValid(known, team)) return undefined
     this.release()
     const reserved = await quotas.reserve(team, this.incoming.tokens)
     if (typeof reserved === 'number') return reserved
--- a/packages/fleet/src/entry/request-crashes.ts
+++ b/packages/fleet/src/entry/request-crashes.ts
@@ -5,7 +5,7 @@
 import type { Quarantine } from '@finchpitch/decisions'
 import type { BackendServer } from '../server.js'
 import type { FleetTeam } from '../team.js'
-import type { Crashes } from './crashes.js'
+import type { CrashTracker } from './crash-tracker.js'
 import { fingerprintOf } from './fingerprint.js'
 import type { IncomingRequest } from './incoming-request.js'
 
@@ -19,23 +19,23 @@
   /** Cached per team, which may change with the table while the request waits. */
   #cached: { team: string | undefined, fingerprint: RequestFingerprint } | undefined
 
-  constructor (private readonly crashes: Crashes, private readonly incoming: IncomingRequest) {}
+  constructor (private readonly crashes: CrashTracker, private readonly incoming: IncomingRequest) {}
 
   /** Set while the request may be sent to no server, because servers crashed while running it. */
   quarantine (team: FleetTeam | undefined): Quarantine | undefined {
-    return this.crashes.none ? undefined : this.crashes.quarantine(this.#fingerprint(team))
+    return this.crashes.isEmpty ? undefined : this.crashes.quarantine(this.#fingerprint(team))
   }
 
   /** Whether the request may be sent now. After its quarantine has expired, this takes a probe grant from other processes. */
   async mayRun (team: FleetTeam | undefined): Promise<boolean> {
-    if (this.crashes.none || !this.crashes.probeDue(this.#fingerprint(team))) return true
-    this.#probeGranted = await this.crashes.probe(this.#fingerprint(team), this.incoming.id)
+    if (this.crashes.isEmpty || !this.crashes.probeDue(this.#fingerprint(team))) return true
+    this.#probeGranted = await this.crashes.requestProbe(this.#fingerprint(team), this.incoming.id)
     return this.#probeGranted
   }
 
   /** Rechecks just before the request is written whether it may be sent. A probe grant allows one attempt. */
   spend (team: FleetTeam | undefined): boolean {
-    if (this.crashes.none) return true
+    if (this.crashes.isEmpty) return true
     if (!this.#probeGranted) return this.quarantine(team) === undefined && !this.crashes.probeDue(this.#fingerprint(team))
     this.#probeGranted = false
     return true
@@ -43,7 +43,7 @@
 
   /** The request ran to completion, so it doesn't crash servers. */
   completed (team: FleetTeam | undefined): void {
-    if (!this.crashes.none) this.crashes.endedWell(this.#fingerprint(team))
+    if (!this.crashes.isEmpty) this.crashes.recordCompletion(this.#fingerprint(team))
   }
 
   /** An attempt that was sent at `sentAt`, on the monotonic clock, failed while its server was running it. */
--- a/packages/fleet/src/entry/request-record.ts
+++ b/packages/fleet/src/entry/request-record.ts
@@ -23,7 +23,7 @@
   /** Time since the table was last proven fresh; not finite where it never was. */
   tableAgeMs: number
   /** What the entry knows of the server that the request was last sent to. */
-  holding: EngineReport | undefined
+  engineReport: EngineReport | undefined
 }
 
 export class RequestRecord {
@@ -49,7 +49,7 @@
   constructor (private readonly incoming: IncomingRequest, private readonly times: RequestTimes) {}
 
   /** Writes the log line and counts the request. */
-  write (outcome: string, log: Log, counters: EntryCounters, { table, tableAgeMs, holding: engineReport }: RecordContext): void {
+  write (outcome: string, log: Log, counters: EntryCounters, { table, tableAgeMs, engineReport }: RecordContext): void {
     const { incoming, times, route, server } = this
     this.#updateMetrics(outcome, counters)
     log.info('request.ended', {
--- a/packages/fleet/src/entry/server-feedback-handler.ts
+++ b/packages/fleet/src/entry/server-feedback-handler.ts
@@ -36,7 +36,7 @@
 
   handle ({ leaving, backoffMs, limitPerSecond }: ServerFeedback, { server, state, request, sentAt }: FeedbackSource): void {
     const { facts, balancer, queue, serverLimits } = this.options
-    serverLimits.heard(server, limitPerSecond, sentAt, request)
+    serverLimits.recordStatement(server, limitPerSecond, sentAt, request)
     if (leaving) facts.markDraining(server, `answer to ${request}`)
     if (backoffMs === undefined) return state.backoff.recordAnswer(nowMs())
     balancer.backOff(server, state, backoffMs, request)
--- a/packages/fleet/src/entry/server-limits.ts
+++ b/packages/fleet/src/entry/server-limits.ts
@@ -7,13 +7,13 @@
  */
 import type { Log } from '@finchpitch/core'
 import { AdvertisedLimits, sliceAgeMs, type AdvertisedLimit, type TokenSlice } from '@finchpitch/decisions'
-import { mostLimits, type Channel, type FrameOf, type RequestAge, type RequestWant } from '@finchpitch/wire'
+import { maxLimitsPerFrame, type Channel, type FrameOf, type AgedRequests, type RequestShortfall } from '@finchpitch/wire'
 import { boottimeMs, nowMs } from '../clock.js'
 import { sendKnownLimits, limitsFromFrame } from '../attempt-reports.js'
 import { incarnationOf, limitKeyOf } from '../incarnation.js'
 import type { BackendServer } from '../server.js'
 import type { EntryCounters } from './counters.js'
-import type { TryNewsExchange } from './try-news-exchange.js'
+import type { AttemptReporter } from './attempt-reporter.js'
 import { LimitAccount } from './limit-account.js'
 
 /**
@@ -44,7 +44,7 @@
 }
 
 /** Permission to send one request to a server. */
-export type LimitPass = { type: 'free' } | { type: 'spent', account: LimitAccount, slices: TokenSlice[] } | { type: 'asking' }
+export type SendPermit = { type: 'unlimited' } | { type: 'charged', account: LimitAccount, slices: TokenSlice[] } | { type: 'recheck' }
 
 /** State of one server's limit, for the selection of a server. */
 export interface LimitState {
@@ -58,13 +58,13 @@
 export interface ServerLimitsOptions {
   /** An upper bound of the number of entries. */
   entries: () => number
-  exchange: Pick<TryNewsExchange, 'tell'>
+  reporter: Pick<AttemptReporter, 'report'>
   /** Requests tokens from other entries. Resolves when that is answered or times out. */
-  exchanged: () => Promise<unknown>
+  exchangeNow: () => Promise<unknown>
   /** Number of requests queued at this entry until a rate-limited server of the service may be sent one. */
   waiting: (service: string) => number
   /** Called when a limit changes or tokens were granted, so that queued requests are reconsidered. */
-  changed: () => void
+  onChange: () => void
   counters: EntryCounters
   log: Log
 }
@@ -77,7 +77,7 @@
   constructor (private readonly options: ServerLimitsOptions) {}
 
   /** Whether no server has a limit, so that lookups can be skipped. */
-  get none (): boolean {
+  get isEmpty (): boolean {
     return this.#limited.size === 0
   }
 
@@ -87,14 +87,14 @@
   }
 
   /** Records the limit that a response stated, `Infinity` for none. `sentAt`: when its request was sent, on the monotonic clock. */
-  heard (server: BackendServer, perSecond: number | undefined, sentAt: number, request: string): void {
-    if (perSecond === undefined || (perSecond === Infinity && this.none)) return
+  recordStatement (server: BackendServer, perSecond: number | undefined, sentAt: number, request: string): void {
+    if (perSecond === undefined || (perSecond === Infinity && this.isEmpty)) return
     const limit = { server: incarnationOf(server), perSecond, sentAt, heardAt: nowMs() }
-    if (this.#record(limit, ownAnswer, request)) this.options.exchange.tell({ crashes: [], sound: [], limits: [limit], probes: [] })
+    if (this.#record(limit, ownAnswer, request)) this.options.reporter.report({ crashes: [], sound: [], limits: [limit], probes: [] })
   }
 
   /** Records the reports of other entries that a side process relays. */
-  take (frame: FrameOf<'crashes'>, from: string): void {
+  handleReport (frame: FrameOf<'crashes'>, from: string): void {
     for (const limit of limitsFromFrame(frame)) this.#record(limit, from)
   }
 
@@ -110,43 +110,43 @@
    * Counts a request that selected the server. If this entry has no token left but others may, waits for an exchange. Returns
    * whether the request may be sent.
    */
-  async bring (server: BackendServer): Promise<boolean> {
+  async awaitCapacity (server: BackendServer): Promise<boolean> {
     const account = this.#find(server)?.account
-    account?.demand()
-    if (account !== undefined && account.ready === 0 && account.askable) await account.asking(this.options.exchanged)
+    account?.recordDemand()
+    if (account !== undefined && account.ready === 0 && account.canExchange) await account.awaitExchange(this.options.exchangeNow)
     const ready = this.state(server)?.ready !== false
     if (!ready) this.options.counters.rateLimited.inc()
     return ready
   }
 
   /** Takes the permission to write one request; `undefined` if the limit allows none now. */
-  pass (server: BackendServer): LimitPass | undefined {
+  acquire (server: BackendServer): SendPermit | undefined {
     const limited = this.#find(server)
-    if (limited === undefined) return { type: 'free' }
+    if (limited === undefined) return { type: 'unlimited' }
     const slices = limited.account.take()
-    if (slices !== undefined) return { type: 'spent', account: limited.account, slices }
+    if (slices !== undefined) return { type: 'charged', account: limited.account, slices }
     if (nowMs() >= limited.recheckAt) {
       limited.recheckAt = this.#nextRecheck()
-      return { type: 'asking' }
+      return { type: 'recheck' }
     }
     this.options.counters.rateLimited.inc()
     return undefined
   }
 
   /** Returns the permission of a request that was not written. */
-  giveBack (permit: LimitPass): void {
-    if (permit.type === 'spent') permit.account.give(permit.slices)
+  release (permit: SendPermit): void {
+    if (permit.type === 'charged') permit.account.deposit(permit.slices)
   }
 
   /** What to give to other entries, where `giving`, and what to request from them. */
-  offers (giving: boolean): { gives: RequestAge[], wants: RequestWant[] } {
+  prepareExchange (giving: boolean): { gives: AgedRequests[], wants: RequestShortfall[] } {
     const now = boottimeMs()
-    const gives: RequestAge[] = []
-    const wants: RequestWant[] = []
+    const gives: AgedRequests[] = []
+    const wants: RequestShortfall[] = []
     for (const { name, service, account } of this.#limited.values()) {
       const queued = this.#queuedFor(service)
       const wanted = account.wants(queued)
-      if (wanted > 0 && wants.length < mostLimits) wants.push([name, wanted, account.lifeMs])
+      if (wanted > 0 && wants.length < maxLimitsPerFrame) wants.push([name, wanted, account.lifetimeMs])
       for (const slice of giving ? account.takeSurplus(queued) : []) gives.push([name, slice.tokens, sliceAgeMs(slice, now)])
     }
     return { gives, wants }
@@ -158,7 +158,7 @@
       const wanted = asked.get(name)
       if (wanted !== undefined) account.granted(slices.get(name) ?? [], wanted)
     }
-    if (slices.size > 0) this.options.changed()
+    if (slices.size > 0) this.options.onChange()
   }
 
   /** Called periodically, with all listed servers. */
@@ -175,13 +175,13 @@
   }
 
   /** Sends all limits in effect to a side process that has connected, since it may have restarted. */
-  greet (side: Channel): void {
+  sendAll (side: Channel): void {
     sendKnownLimits(this.#advertised, side)
   }
 
   /** The server's limit, if it has one. Learns the server's service, which reports don't contain. */
   #find (server: BackendServer): LimitedServer | undefined {
-    const limited = this.none ? undefined : this.#limited.get(incarnationOf(server))
+    const limited = this.isEmpty ? undefined : this.#limited.get(incarnationOf(server))
     if (limited !== undefined) limited.service = server.service
     return limited
   }
@@ -209,7 +209,7 @@
 
   /** Puts a new limit into effect, or ends the server's limit. */
   #apply ({ server, perSecond, heardAt }: AdvertisedLimit, source: { from: string, request: string | undefined, before: number | 'none' }): void {
-    const { entries, log, changed: onChange } = this.options
+    const { entries, log, onChange } = this.options
     log.info('server.limited', { server, perSecond: loggedRate(perSecond), ...source, agoMs: Math.round(nowMs() - heardAt), entries: entries() })
     if (perSecond === Infinity) this.#limited.delete(server)
     else this.#limited.set(server, { name: limitKeyOf(server, perSecond), service: undefined, account: new LimitAccount(perSecond, entries), recheckAt: this.#nextRecheck(), listedAt: nowMs() })
@@ -229,7 +229,7 @@
 const loggedRate = (perSecond: number): number | 'none' => perSecond === Infinity ? 'none' : perSecond
 
 /** The part that the selection of servers and the exchange of tokens use. */
-export type LimitsView = Pick<ServerLimits, 'none' | 'state' | 'bring' | 'offers' | 'granted'>
+export type LimitsView = Pick<ServerLimits, 'isEmpty' | 'state' | 'awaitCapacity' | 'prepareExchange' | 'granted'>
 
 /** No server has a limit. */
-export const noLimits: LimitsView = { none: true, state: () => undefined, bring: async () => true, offers: () => ({ gives: [], wants: [] }), granted: () => {} }
+export const noLimits: LimitsView = { isEmpty: true, state: () => undefined, awaitCapacity: async () => true, prepareExchange: () => ({ gives: [], wants: [] }), granted: () => {} }
--- a/packages/fleet/src/entry/server-selector.ts
+++ b/packages/fleet/src/entry/server-selector.ts
@@ -45,7 +45,7 @@
 export interface ServerSelectorOptions {
   facts: Facts
   balancer: Balancer
-  room: RequestQueue
+  queue: RequestQueue
   counters: EntryCounters
   times: RequestTimes
   record: RequestRecord
@@ -71,7 +71,7 @@
 
   /** Puts the request behind those that already wait for rate-limited servers and rank before it. */
   #delayBehindQueued (choice: Choice, { service, promptTokens }: SelectionRequest, admitted: Admission): Choice {
-    const { balancer, room: queue } = this.options
+    const { balancer, queue } = this.options
     if (choice.type === 'send' ? !balancer.isLimited(choice.id) : choice.type !== 'limited') return choice
     const ahead = queue.limitedAhead(service.name, this.rank(admitted, promptTokens))
     const limited = ahead === 0 ? undefined : balancer.limitedChoice(service.name)
@@ -85,7 +85,7 @@
   }
 
   async #wait (first: Exclude<Choice, SendChoice>, selection: SelectionRequest, admitted: Admission): Promise<ServerSelection> {
-    const { balancer, room: queue, times, crashes, cancellation } = this.options
+    const { balancer, queue, times, crashes, cancellation } = this.options
     const { route } = admitted
     const rank = (): number => this.rank(admitted, selection.promptTokens)
     const started = nowMs()
@@ -97,7 +97,7 @@
       mayWaitFor: choice => this.#mayWaitFor(choice, route),
       choose: () => balancer.choose({ ...selection, inTimeMs: times.timeToObjectiveMs(route) }),
       isQuarantined: () => crashes.quarantine(admitted.team) !== undefined,
-      requestLoad: (ask, waiting) => balancer.bring(ask, selection.key ?? '', waiting, rank())
+      requestLoad: (ask, waiting) => balancer.requestLoad(ask, selection.key ?? '', waiting, rank())
     }, first, cancellation)
     this.#recordWait(first, nowMs() - started)
     if (outcome.type === 'quarantined') return { type: 'readmit' }
--- a/packages/fleet/src/entry/service-request.ts
+++ b/packages/fleet/src/entry/service-request.ts
@@ -17,7 +17,7 @@
 import type { SelectionRequest, Balancer } from './balancer.js'
 import { Cancellation } from './cancellation.js'
 import type { ConnectTimeout } from './connect-timeout.js'
-import type { Crashes } from './crashes.js'
+import type { CrashTracker } from './crash-tracker.js'
 import type { EntryCounters } from './counters.js'
 import { CallerResponse } from './caller-response.js'
 import { EventFramer } from './event-stream.js'
@@ -52,14 +52,14 @@
 export interface ServiceRequestOptions extends RequestAdmissionOptions {
   facts: Facts
   balancer: Balancer
-  room: RequestQueue
+  queue: RequestQueue
   budget: RetryBudget
   firstAttempts: FirstAttemptEstimator
   faults: ServerFaults
   serverLimits: ServerLimits
-  words: ServerFeedbackHandler
-  crashes: Crashes
-  connects: ConnectTimeout
+  feedbackHandler: ServerFeedbackHandler
+  crashes: CrashTracker
+  connectTimeout: ConnectTimeout
   counters: EntryCounters
   log: Log
   /** Resolves once this entry has a routing table, or has had the time that loading it takes after a start. */
@@ -127,7 +127,7 @@
     this.#admission = new RequestAdmission(options, this.#incoming)
     this.#crashes = new RequestCrashes(options.crashes, this.#incoming)
     this.#selector = new ServerSelector({ ...options, times: this.#times, record: this.#record, crashes: this.#crashes, cancellation: this.#cancellation })
-    this.#localReplies = new LocalReplies({ names: options.names, staleTableRetryMs: options.staleTableRetryMs, incoming: this.#incoming, delivery: this.#delivery, record: this.#record })
+    this.#localReplies = new LocalReplies({ names: options.names, staleTableRetryMs: options.staleTableRetryMs, incoming: this.#incoming, callerResponse: this.#delivery, record: this.#record })
     response.on('close', () => { if (!response.writableFinished) this.#cancellation.cancel() })
   }
 
@@ -136,7 +136,7 @@
     const { facts, balancer, log, counters } = this.options
     this.#admission.release()
     const engineReport = balancer.states.get(this.#record.server?.id ?? '')?.engineReport
-    this.#record.write(outcome, log, counters, { table: facts.routes?.table.version, tableAgeMs: facts.freshness.ageMs, holding: engineReport })
+    this.#record.write(outcome, log, counters, { table: facts.routes?.table.version, tableAgeMs: facts.freshness.ageMs, engineReport })
   }
 
   async #handle (): Promise<string> {
@@ -224,7 +224,7 @@
   }
 
   async #attempt (server: BackendServer, selection: SelectionRequest, admitted: Admission, choice: SendChoice): Promise<Verdict> {
-    const { balancer, budget, names, counters, connects, facts } = this.options
+    const { balancer, budget, names, counters, connectTimeout: connects, facts } = this.options
     const table = facts.routes
     const { route } = admitted
     const remaining = Math.floor(this.#times.leftMs)
@@ -252,30 +252,30 @@
       onConnected: ms => connects.recordConnect(ms),
       stream: route.kind === 'stream',
       eventFramer: this.#framer,
-      delivery: this.#delivery,
+      callerResponse: this.#delivery,
       cancellation: this.#cancellation,
       onResponse: () => {
         state.recordFirstByte(pending)
         balancer.recordFirstByte(pending)
         this.#record.firstByteMs ??= this.#times.ms
       },
-      onServerFeedback: feedback => this.options.words.handle(feedback, { server, state, request: this.#incoming.id, sentAt })
+      onServerFeedback: feedback => this.options.feedbackHandler.handle(feedback, { server, state, request: this.#incoming.id, sentAt })
     })
     state.end(key, pending)
     if (result.type !== 'not_sent' && result.type !== 'withheld') this.#sentAttempts += 1
     counters.attempts.inc({ end: result.type })
-    this.options.room.scheduleCapacityScan()
+    this.options.queue.scheduleCapacityScan()
     return this.#handleResult(result, { server, selection, admitted, sentAt })
   }
 
   /** Spends quota, advertised limit and probe grant just before the request is written. Returns whether it may be sent. */
   #spend (server: BackendServer, admitted: Admission): boolean {
     const { serverLimits } = this.options
-    const pass = serverLimits.pass(server)
+    const pass = serverLimits.acquire(server)
     if (pass === undefined) return false
     // Quarantine is rechecked here: attempts that were still connecting when a second server crashed would each crash one more.
     if (this.#crashes.spend(admitted.team) && this.#admission.spend(admitted)) return true
-    serverLimits.giveBack(pass)
+    serverLimits.release(pass)
     return false
   }
 
--- a/packages/fleet/src/entry/side-link.ts
+++ b/packages/fleet/src/entry/side-link.ts
@@ -32,18 +32,18 @@
 
 export interface SideLinkOptions extends SideConnectionOptions {
   /** If this entry watches the store, gets a proof from there that the routing table is current, unless it has a recent one. */
-  prove: () => Promise<void>
+  ensureProof: () => Promise<void>
   /** Whether this entry watches the store. If so, it sends all facts to local side processes without delay. */
   watching: () => boolean
   /** The highest fencing token that the side process is known to have used. */
   fence: () => number
   /** Called when the channel is opened or closed. */
-  changed: () => void
-  joined: (channel: Channel) => void
+  onConnectionChange: () => void
+  onConnect: (channel: Channel) => void
   /** Called when the side process sends an appointment, or is lost after it sent one. */
-  appointmentChanged: () => void
+  onAppointmentChange: () => void
   /** Called for each frame, after the link itself has handled it. */
-  take: (frame: Frame, channel: Channel) => void
+  onFrame: (frame: Frame, channel: Channel) => void
 }
 
 type LoadRequest = Omit<FrameOf<'want'>, 'type'>
@@ -74,8 +74,8 @@
   #appointment: Appointment | undefined
   #lastUsedAt = -Infinity
 
-  constructor (readonly host: string, readonly near: boolean, private readonly options: SideLinkOptions) {
-    if (near) this.#connect()
+  constructor (readonly host: string, readonly isLocal: boolean, private readonly options: SideLinkOptions) {
+    if (isLocal) this.#connect()
   }
 
   get connected (): boolean {
@@ -83,17 +83,17 @@
   }
 
   /** Prompt tokens of this entry's requests that the engine has not prefilled yet, as last reported to the side process. */
-  get toldUnread (): number {
+  get reportedUnread (): number {
     return this.#reportedUnread
   }
 
   /** Whether the channel is open and a frame arrived recently. */
-  get lively (): boolean {
-    return this.#channel !== undefined && nowMs() - this.#lastHeardAt <= (this.near ? silenceTimeoutMs.local : silenceTimeoutMs.remote)
+  get isResponsive (): boolean {
+    return this.#channel !== undefined && nowMs() - this.#lastHeardAt <= (this.isLocal ? silenceTimeoutMs.local : silenceTimeoutMs.remote)
   }
 
   /** Replaces the set of engine hosts whose updates the side process has to send. */
-  follow (hosts: readonly string[]): void {
+  setSubscriptions (hosts: readonly string[]): void {
     if (hosts.length === this.#subscriptions.length && hosts.every((host, at) => host === this.#subscriptions[at])) return
     this.#subscriptions = hosts
     if (hosts.length > 0) this.#connect()
@@ -102,19 +102,19 @@
 
   /** Whether the side process appoints this entry to watch the store; `undefined` if it is unresponsive or has sent no appointment. */
   get appointment (): Appointment | undefined {
-    return this.lively ? this.#appointment : undefined
+    return this.isResponsive ? this.#appointment : undefined
   }
 
   /** Sets whether this entry depends on the side process for facts from the store. */
-  depend (on: boolean): void {
+  setDependent (on: boolean): void {
     if (on === this.#dependent) return
     this.#dependent = on
     this.#channel?.send({ type: 'depend', on })
   }
 
   /** Updates the delay of facts after this entry has started or stopped watching the store. */
-  watchingChanged (): void {
-    if (this.near) this.#factLink?.setDelay(this.#factDelayMs)
+  updateFactDelay (): void {
+    if (this.isLocal) this.#factLink?.setDelay(this.#factDelayMs)
   }
 
   /** The channel if it is open. If it is not, reading this starts to open it. */
@@ -125,7 +125,7 @@
   }
 
   /** Requests a proof that the routing table is current. */
-  askFresh (): void {
+  requestProof (): void {
     this.#lastUsedAt = nowMs()
     this.#connect()
     if (this.#channel === undefined) this.#proofDue = true
@@ -133,23 +133,23 @@
   }
 
   /** Whether the side process can be asked to load the adapter. */
-  orderable (key: string): boolean {
+  canRequestLoad (key: string): boolean {
     const now = nowMs()
     if (now - (this.#declined.get(key) ?? -Infinity) <= declineBackoffMs) return false
     if (now - this.#unansweredSince > responseTimeoutMs) return false
     // Without a subscription, a remote side process may have nothing to send. Only a request shows whether it responds.
-    return this.near || this.#subscriptions.length > 0 ? this.lively : true
+    return this.isLocal || this.#subscriptions.length > 0 ? this.isResponsive : true
   }
 
   /** Whether the adapter was requested recently, so that the engine will probably load it. */
-  awaits (key: string): boolean {
+  isLoadRequested (key: string): boolean {
     return nowMs() - (this.#requested.get(key) ?? -Infinity) < loadRequestRepeatMs
   }
 
   /** Asks the side process to load an adapter, unless it was asked recently. Returns whether it was asked now. */
-  want (request: LoadRequest): boolean {
+  requestLoad (request: LoadRequest): boolean {
     const now = nowMs()
-    if (this.awaits(request.key)) return false
+    if (this.isLoadRequested(request.key)) return false
     this.#requested.set(request.key, now)
     this.#unansweredSince = Math.min(this.#unansweredSince, now)
     this.#lastUsedAt = now
@@ -165,7 +165,7 @@
   }
 
   /** Reports which adapters are in use. Without `all`, adapters in use without new requests are left out. */
-  tellUses (state: ServerState, all: boolean): void {
+  sendUses (state: ServerState, all: boolean): void {
     if (this.#channel === undefined) {
       if (state.uses.size > 0) this.#connect()
       return
@@ -205,7 +205,7 @@
   }
 
   get #needed (): boolean {
-    return this.near || this.#subscriptions.length > 0 || this.#queuedRequests.size > 0 || nowMs() - this.#lastUsedAt < idleCloseMs
+    return this.isLocal || this.#subscriptions.length > 0 || this.#queuedRequests.size > 0 || nowMs() - this.#lastUsedAt < idleCloseMs
   }
 
   #connect (): void {
@@ -233,7 +233,7 @@
     if (this.#stop.signal.aborted) channel.close()
     const factLink = new FactLink(facts, channel, this.#factDelayMs, log)
     this.#factLink = factLink
-    void channel.greeted.then(welcome => { if (welcome) this.#handleConnect(channel, factLink) })
+    void channel.helloReceived.then(welcome => { if (welcome) this.#handleConnect(channel, factLink) })
     for await (const frame of channel.frames()) {
       this.#lastHeardAt = nowMs()
       this.#unansweredSince = Infinity
@@ -245,12 +245,12 @@
     this.#reportedUnread = 0
     this.#requested.clear()
     this.#setAppointment(undefined)
-    this.options.changed()
+    this.options.onConnectionChange()
     return (await channel.ended).reason
   }
 
   #handleConnect (channel: Channel, factLink: FactLink): void {
-    const { facts, fence, log, changed, joined } = this.options
+    const { facts, fence, log, onConnectionChange: changed, onConnect: joined } = this.options
     this.#channel = channel
     this.#lastHeardAt = nowMs()
     channel.send({ type: 'fences', highest: Math.max(fence(), Math.floor(facts.revision)) })
@@ -260,7 +260,7 @@
     if (this.#dependent) channel.send({ type: 'depend', on: true })
     // A remote side process gets facts from its local entries and from other side processes; another copy over each link between
     // domains would waste bytes.
-    if (this.near) factLink.start()
+    if (this.isLocal) factLink.start()
     else factLink.stop()
     for (const request of this.#queuedRequests.values()) channel.send({ type: 'want', ...request })
     this.#queuedRequests.clear()
@@ -274,11 +274,11 @@
   #setAppointment (appointment: Appointment | undefined): void {
     if (appointment === undefined && this.#appointment === undefined) return
     this.#appointment = appointment
-    this.options.appointmentChanged()
+    this.options.onAppointmentChange()
   }
 
   get #factDelayMs (): number {
-    if (!this.near) return forwardDelayMs.remoteSide
+    if (!this.isLocal) return forwardDelayMs.remoteSide
     return this.options.watching() ? forwardDelayMs.dependent : forwardDelayMs.resting
   }
 
@@ -289,7 +289,7 @@
   }
 
   async #answerProofRequest (request: ProofRequest): Promise<void> {
-    await this.options.prove()
+    await this.options.ensureProof()
     answerProofRequest(this.options.facts, request)
   }
 
@@ -303,6 +303,6 @@
       this.#declined.set(frame.key, nowMs())
       this.#requested.delete(frame.key)
     }
-    if (this.#channel !== undefined) this.options.take(frame, this.#channel)
+    if (this.#channel !== undefined) this.options.onFrame(frame, this.#channel)
   }
 }
--- a/packages/fleet/src/entry/side-links.ts
+++ b/packages/fleet/src/entry/side-links.ts
@@ -6,14 +6,14 @@
  * (`update-sources.ts`). Load requests and reports of adapter use go straight to the engine's own side process.
  */
 import { hostOf, pause } from '@finchpitch/core'
-import type { Appointment, Channel, Frame, FrameOf, HoldingFrame } from '@finchpitch/wire'
+import type { Appointment, Channel, Frame, FrameOf, EngineUpdateFrame } from '@finchpitch/wire'
 import { nowMs } from '../clock.js'
 import { EngineMirror } from '../engine-mirror.js'
 import type { SideConnectionOptions } from '../keep-connected.js'
 import type { BackendServer } from '../server.js'
-import type { SidePlace } from './try-news-exchange.js'
+import type { ReportTarget } from './attempt-reporter.js'
 import { countEntries, countWatchers, type DomainEntries } from './entry-count.js'
-import { NewsSources, relayOf, type NewsHosts } from './news-sources.js'
+import { UpdateSources, rendezvousHost, type SourceHosts } from './update-sources.js'
 import type { ServerStates } from './server-states.js'
 import { SideLink } from './side-link.js'
 
@@ -37,21 +37,21 @@
   domain: string
   states: ServerStates
   /** If this entry watches the store, gets a proof from there that the routing table is current, unless it has a recent one. */
-  prove: () => Promise<void>
+  ensureProof: () => Promise<void>
   /** Whether this entry watches the store. */
   watching: () => boolean
   /** Called after changes that may let queued requests go on: those for these adapters, or all. */
-  changed: (keys: string[] | undefined) => void
+  onEngineChange: (keys: string[] | undefined) => void
   /** Called when the side process at `host` answers a quota request. */
   granted: (host: string, channel: Channel, frame: FrameOf<'quota_grant'>) => void
   /** Called for attempt reports of other entries: crashes of servers under requests, completed runs, and advertised limits. */
   crashes: (frame: FrameOf<'crashes'>, from: string) => void
   /** Called when the side process at `host` acknowledges an attempt report. */
-  crashesNoted: (host: string, stamp: number, granted: boolean) => void
+  onReportAcknowledged: (host: string, stamp: number, granted: boolean) => void
   /** Called when the channel to a local side process is open. */
-  joinedNear: (channel: Channel) => void
+  onLocalConnect: (channel: Channel) => void
   /** Called when `appointments` may have changed. */
-  appointmentsChanged: () => void
+  onAppointmentsChange: () => void
 }
 
 /** An engine, with the link to its side process and a copy of its state. */
@@ -64,7 +64,7 @@
 export class SideLinks {
   /** By the host that an engine shares with its side process. */
   readonly #engines = new Map<string, LinkedEngine>()
-  readonly #sources: NewsSources
+  readonly #sources: UpdateSources
   /** Requests for proofs rotate through the side processes, from a random start so that entries begin with different ones. */
   #proofRounds = Math.floor(Math.random() * maxFirstRound)
   #usesTimer: NodeJS.Timeout | undefined
@@ -72,7 +72,7 @@
   readonly #changedUses = new Set<string>()
 
   constructor (private readonly options: SideLinksOptions) {
-    this.#sources = new NewsSources(options.log)
+    this.#sources = new UpdateSources(options.log)
   }
 
   /** Opens links for new engines and closes those of engines that are gone. */
@@ -94,13 +94,13 @@
   }
 
   /** Number of entries that watch the store; `undefined` until a side process has reported. */
-  get watchers (): number | undefined {
+  get watcherCount (): number | undefined {
     return countWatchers(this.#domainEntries)
   }
 
   /** The last appointment from each responsive local side process: whether this entry has to watch the store. */
   get appointments (): Appointment[] {
-    return [...this.#engines.values()].filter(({ link }) => link.near).map(({ link }) => link.appointment).filter(each => each !== undefined)
+    return [...this.#engines.values()].filter(({ link }) => link.isLocal).map(({ link }) => link.appointment).filter(each => each !== undefined)
   }
 
   /** Hosts of all side processes. */
@@ -109,8 +109,8 @@
   }
 
   /** All side processes. Remote ones count as responsive, since only sending them something shows whether they are. */
-  get places (): SidePlace[] {
-    return [...this.#engines].map(([host, { domain, link }]) => ({ host, domain, lively: link.lively || !link.near }))
+  get sideProcesses (): ReportTarget[] {
+    return [...this.#engines].map(([host, { domain, link }]) => ({ host, domain, responsive: link.isResponsive || !link.isLocal }))
   }
 
   /** The channel to the side process at a host if it is open. If it is not, this starts to open it. */
@@ -127,17 +127,17 @@
    * Requests a proof that the routing table is current from the next responsive local side process and, with `includeRemote`,
    * also from the next remote one.
    */
-  askFresh (includeRemote: boolean): void {
+  requestProof (includeRemote: boolean): void {
     const links = [...this.#engines.values()].map(({ link }) => link)
     this.#proofRounds += 1
-    for (const candidates of [links.filter(link => link.near && link.lively), includeRemote ? links.filter(link => !link.near) : []]) {
-      candidates[this.#proofRounds % candidates.length]?.askFresh()
+    for (const candidates of [links.filter(link => link.isLocal && link.isResponsive), includeRemote ? links.filter(link => !link.isLocal) : []]) {
+      candidates[this.#proofRounds % candidates.length]?.requestProof()
     }
   }
 
   /** Updates the delay of facts after this entry has started or stopped watching the store. */
-  watchingChanged (): void {
-    for (const { link } of this.#engines.values()) link.watchingChanged()
+  updateFactDelay (): void {
+    for (const { link } of this.#engines.values()) link.updateFactDelay()
   }
 
   get #domainEntries (): DomainEntries[] {
@@ -145,14 +145,14 @@
       ({ domain, entries: mirror.hasUpdates ? mirror.entries : undefined, strangers: mirror.strangers }))
   }
 
-  get connected (): number {
+  get connectedCount (): number {
     return [...this.#engines.values()].filter(({ link }) => link.connected).length
   }
 
   /** Whether the engine's side process can be asked to load the adapter. */
-  orderable (engine: BackendServer, key: string): boolean {
+  canRequestLoad (engine: BackendServer, key: string): boolean {
     const linked = this.#linkedEngine(engine)
-    return linked !== undefined && !linked.mirror.lost && linked.link.orderable(key)
+    return linked !== undefined && !linked.mirror.lost && linked.link.canRequestLoad(key)
   }
 
   /**
@@ -160,8 +160,8 @@
    * yet. This keeps the next request for the adapter from asking another engine: on 8 engines with some 850 loads a minute,
    * loads of adapters that were already being loaded elsewhere fell from 72 to 24.
    */
-  awaits (engine: BackendServer, key: string): boolean {
-    return this.#linkedEngine(engine)?.link.awaits(key) === true
+  isLoadRequested (engine: BackendServer, key: string): boolean {
+    return this.#linkedEngine(engine)?.link.isLoadRequested(key) === true
   }
 
   /** Whether the engine probably still caches the adapter after unloading it. */
@@ -170,20 +170,20 @@
   }
 
   /** Asks the engine's side process to load the adapter, unless it was asked recently. `waiting`: how many requests wait for it. */
-  want (engine: BackendServer, key: string, waiting: number, priority: number, version: number | undefined): void {
+  requestLoad (engine: BackendServer, key: string, waiting: number, priority: number, version: number | undefined): void {
     const request = { key, waiting, priority, ...(version === undefined ? {} : { version }) }
-    if (this.#linkedEngine(engine)?.link.want(request) !== true) return
+    if (this.#linkedEngine(engine)?.link.requestLoad(request) !== true) return
     this.options.log.info('adapter.wanted', { key, server: engine.id, waiting, priority })
   }
 
   /** Schedules a report to the side process of a server at which requests were started, got their first byte or ended. */
-  usesChanged (id: string): void {
+  scheduleUsesReport (id: string): void {
     this.#changedUses.add(id)
     this.#usesTimer ??= setTimeout(() => this.#sendChangedUses(), usesDelayMs)
   }
 
   /** Maintains the links until `signal` aborts. */
-  async tend (signal: AbortSignal): Promise<void> {
+  async run (signal: AbortSignal): Promise<void> {
     for (let round = 1; !signal.aborted; round++) {
       await pause(maintenanceIntervalMs, signal)
       const full = round % (usesRepeatMs / maintenanceIntervalMs) === 0
@@ -225,49 +225,49 @@
 
   #sendUses (server: BackendServer, all: boolean): void {
     const state = this.options.states.get(server.id)
-    if (state !== undefined) this.#linkedEngine(server)?.link.tellUses(state, all)
+    if (state !== undefined) this.#linkedEngine(server)?.link.sendUses(state, all)
   }
 
   #addEngine (host: string, domain: string): LinkedEngine {
     const mirror = new EngineMirror()
-    const { changed, appointmentsChanged, joinedNear } = this.options
+    const { onEngineChange: changed, onAppointmentsChange: appointmentsChanged, onLocalConnect: joinedNear } = this.options
     const link: SideLink = new SideLink(host, domain === this.options.domain, {
       ...this.options,
       fence: () => mirror.fence,
-      changed: () => changed(undefined),
-      joined: channel => { if (link.near) joinedNear(channel) },
-      appointmentChanged: appointmentsChanged,
-      take: (frame, channel) => this.#handleFrame(host, frame, channel)
+      onConnectionChange: () => changed(undefined),
+      onConnect: channel => { if (link.isLocal) joinedNear(channel) },
+      onAppointmentChange: appointmentsChanged,
+      onFrame: (frame, channel) => this.#handleFrame(host, frame, channel)
     })
-    if (link.near) link.follow([host])
+    if (link.isLocal) link.setSubscriptions([host])
     return { domain, link, mirror }
   }
 
   /** Hosts of the responsive local side processes and of all remote engines. */
-  #sourceHosts (): NewsHosts {
+  #sourceHosts (): SourceHosts {
     const localHosts: string[] = []
     const remoteHosts: string[] = []
     for (const [host, { link }] of this.#engines) {
-      if (!link.near) remoteHosts.push(host)
-      else if (link.lively) localHosts.push(host)
+      if (!link.isLocal) remoteHosts.push(host)
+      else if (link.isResponsive) localHosts.push(host)
     }
-    return { near: localHosts, far: remoteHosts }
+    return { local: localHosts, remote: remoteHosts }
   }
 
   /** Selects the sources of updates and subscribes to them. */
-  #selectSources (hosts: NewsHosts): void {
-    if (!this.#sources.choose(hosts)) return
-    for (const [host, { link }] of this.#engines) link.follow(this.#sources.toldBy(host, link.near))
+  #selectSources (hosts: SourceHosts): void {
+    if (!this.#sources.select(hosts)) return
+    for (const [host, { link }] of this.#engines) link.setSubscriptions(this.#sources.subscriptionsAt(host, link.isLocal))
   }
 
   /**
    * An entry that does not watch the store depends on one local side process for facts. Rendezvous hashing spreads the entries
    * over the side processes.
    */
-  #selectFactSource ({ near: localHosts }: NewsHosts): void {
+  #selectFactSource ({ local: localHosts }: SourceHosts): void {
     const { process, watching } = this.options
-    const factSource = watching() ? undefined : relayOf(process, localHosts)
-    for (const [host, { link }] of this.#engines) if (link.near) link.depend(host === factSource)
+    const factSource = watching() ? undefined : rendezvousHost(process, localHosts)
+    for (const [host, { link }] of this.#engines) if (link.isLocal) link.setDependent(host === factSource)
   }
 
   readonly #handlers: { [Type in Frame['type']]?: (host: string, frame: FrameOf<Type>, channel: Channel) => void } = {
@@ -275,11 +275,11 @@
     arrived: (host, { key, version }) => this.#handleLoaded(host, key, version),
     declined: (host, { key, reason }) => {
       this.options.log.info('adapter.declined', { key, host, reason })
-      this.options.changed([key])
+      this.options.onEngineChange([key])
     },
     quota_grant: (host, frame, channel) => this.options.granted(host, channel, frame),
     crashes: (_host, frame, channel) => this.options.crashes(frame, channel.peer.process),
-    crashes_noted: (host, { stamp, granted }) => this.options.crashesNoted(host, stamp, granted === true)
+    crashes_noted: (host, { stamp, granted }) => this.options.onReportAcknowledged(host, stamp, granted === true)
   }
 
   #handleFrame (host: string, frame: Frame, channel: Channel): void {
@@ -291,13 +291,13 @@
    * Applies an update that arrived from the side process at `source`. Updates from a source no longer selected are dropped, since
    * they may be incremental to updates that this entry did not get.
    */
-  #handleUpdate (source: string, frame: HoldingFrame): void {
+  #handleUpdate (source: string, frame: EngineUpdateFrame): void {
     const engine = this.#engines.get(frame.host)
-    if (engine === undefined || this.#sources.of(frame.host) !== source) return
+    if (engine === undefined || this.#sources.sourceOf(frame.host) !== source) return
     engine.mirror.apply(frame)
     engine.link.held(Object.keys(frame.came ?? {}))
     this.#applyReport(frame.host, engine)
-    if (frame.came !== undefined) this.options.changed(Object.keys(frame.came))
+    if (frame.came !== undefined) this.options.onEngineChange(Object.keys(frame.came))
   }
 
   /** Handles an early notice that the engine has loaded an adapter. */
@@ -308,7 +308,7 @@
     engine.link.held([key])
     const server = this.#serverAt(host, engine.mirror.server)
     if (server !== undefined) this.options.states.updateHeld(server.id, engine.mirror.held)
-    this.options.changed([key])
+    this.options.onEngineChange([key])
   }
 
   /** Applies the engine's copied state to the state that servers are selected by. */
@@ -318,7 +318,7 @@
     const { reachable, held, coming, waiting, running, unread, bornAt, leaving } = mirror
     if (leaving && mirror.server === server.id) this.options.facts.markDraining({ id: server.id, bornAt }, `the side process at ${host}`)
     // Unprefilled prompt tokens of this entry's own requests are counted here, and more precisely.
-    const othersUnread = Math.max(0, unread - link.toldUnread)
+    const othersUnread = Math.max(0, unread - link.reportedUnread)
     this.options.states.applyReport(server.id, { at: nowMs(), reachable, held, coming: new Set(coming), waiting, running, unread: othersUnread }, bornAt)
   }
 
--- a/packages/fleet/src/entry/store-watch.ts
+++ b/packages/fleet/src/entry/store-watch.ts
@@ -13,7 +13,7 @@
 import { revisionFields } from '../store-revision.js'
 import { DutySwitch } from '../duty-switch.js'
 import { TableProver } from './table-prover.js'
-import { dutyOf, type DutyView } from './watch-duty.js'
+import { decideWatchDuty, type WatchDutyInput } from './watch-duty.js'
 
 /** An entry that the store did not answer is not appointed again for this long: it would fail once more while others depend on it. */
 const blindMs = 5000
@@ -23,13 +23,13 @@
   facts: Facts
   log: Log
   /** How long to pause after a call. */
-  restMs: (kind: Fact['kind']) => number
+  pauseMs: (kind: Fact['kind']) => number
   /** Whether a recent proof that the routing table is current is needed and missing. */
-  unproven: () => boolean
+  lacksProof: () => boolean
   /** The last appointment from each responsive local side process. */
   appointments: () => readonly Appointment[]
   /** Called when the duty to watch begins or ends. */
-  changed: () => void
+  onDutyChange: () => void
 }
 
 export class StoreWatch {
@@ -46,32 +46,32 @@
   }
 
   run (signal: AbortSignal): void {
-    const { sources, facts, log, restMs } = this.options
+    const { sources, facts, log, pauseMs: restMs } = this.options
     const table = sources.find(source => source.kind === 'table')
     if (table !== undefined) this.#prover = new TableProver(table, facts, signal)
     for (const source of sources) void watchFacts({ source, facts, log, signal, outage: this.#health, duty: this.#duty, pauseMs: restMs })
   }
 
   /** If this entry watches the store, gets a proof from there that the routing table is current, unless it has a recent one. */
-  async prove (): Promise<void> {
-    if (this.#duty.on) await this.#prover?.prove()
+  async ensureProof (): Promise<void> {
+    if (this.#duty.on) await this.#prover?.ensureProof()
   }
 
   /** Updates the duty and the reported store access. */
   check (): void {
-    const { facts, appointments, unproven } = this.options
-    this.#updateDuty({ appointments: appointments(), read: facts.hasSynced, confirmedMs: nowMs() - facts.serversConfirmedAt, unproven: unproven() })
+    const { facts, appointments, lacksProof: unproven } = this.options
+    this.#updateDuty({ appointments: appointments(), hasSynced: facts.hasSynced, confirmedMs: nowMs() - facts.serversConfirmedAt, lacksProof: unproven() })
     facts.setSight(this.#sight())
   }
 
-  #updateDuty (input: DutyView): void {
-    const { watch, reason } = dutyOf(input)
+  #updateDuty (input: WatchDutyInput): void {
+    const { watch, reason } = decideWatchDuty(input)
     if (watch === this.#duty.on) return
     this.options.log.info('store.duty_changed', { watch, reason, confirmedMs: Math.round(input.confirmedMs), ...revisionFields(this.options.facts.revision) })
     this.#duty.setActive(watch)
     // What this entry learned while others watched is sent to the side processes before the new sight is, since they take
     // everything that an entry which reads the store reports as complete.
-    this.options.changed()
+    this.options.onDutyChange()
   }
 
   #sight (): StoreSight {
--- a/packages/fleet/src/entry/table-confirmation.ts
+++ b/packages/fleet/src/entry/table-confirmation.ts
@@ -18,8 +18,8 @@
 export interface TableConfirmationOptions {
   facts: Facts
   limits: () => Pick<Limits, 'applyMs'>
-  links: Pick<SideLinks, 'askFresh'>
-  watch: Pick<StoreWatch, 'prove' | 'watching'>
+  links: Pick<SideLinks, 'requestProof'>
+  watch: Pick<StoreWatch, 'ensureProof' | 'watching'>
 }
 
 export class TableConfirmation {
@@ -35,7 +35,7 @@
   }
 
   /** Requests a proof. Resolves with the next proof or the next table, or after `mostMs` or the request interval, whichever is shorter. */
-  async nextProof (mostMs: number): Promise<void> {
+  async awaitProof (mostMs: number): Promise<void> {
     const { facts } = this.options
     const arrived = new AbortController()
     const unsubscribe = [
@@ -55,7 +55,7 @@
     const { links, watch } = this.options
     if (nowMs() - this.#requestedAt < requestIntervalMs) return
     this.#requestedAt = nowMs()
-    void watch.prove()
-    links.askFresh(watch.watching)
+    void watch.ensureProof()
+    links.requestProof(watch.watching)
   }
 }
--- a/packages/fleet/src/entry/table-prover.ts
+++ b/packages/fleet/src/entry/table-prover.ts
@@ -21,7 +21,7 @@
   constructor (private readonly source: FactSource, private readonly facts: Facts, private readonly signal: AbortSignal) {}
 
   /** Calls the store unless there is a recent proof. Resolves when the call ends, whether or not it gave a proof. */
-  async prove (): Promise<void> {
+  async ensureProof (): Promise<void> {
     if (this.facts.freshness.ageMs <= recentMs) return
     this.#pending ??= this.#callStore()
     await this.#pending
--- a/packages/fleet/src/entry/news-sources.ts
+++ b/packages/fleet/src/entry/update-sources.ts
@@ -12,22 +12,22 @@
 import { nowMs } from '../clock.js'
 import { minBy } from '../min-by.js'
 
-export interface NewsHosts {
+export interface SourceHosts {
   /** Hosts of engines in the entry's own failure domain whose side processes are responsive. */
-  near: readonly string[]
+  local: readonly string[]
   /** Hosts of engines in other failure domains. */
-  far: readonly string[]
+  remote: readonly string[]
 }
 
 /** For the host of each engine, the host of the side process that sends its updates. */
-export const newsSources = ({ near: localHosts, far: remoteHosts }: NewsHosts): Map<string, string> => {
+export const selectUpdateSources = ({ local: localHosts, remote: remoteHosts }: SourceHosts): Map<string, string> => {
   const sources = new Map<string, string>(localHosts.map(host => [host, host]))
-  for (const host of remoteHosts) sources.set(host, relayOf(host, localHosts) ?? host)
+  for (const host of remoteHosts) sources.set(host, rendezvousHost(host, localHosts) ?? host)
   return sources
 }
 
 /** The host selected for `key` by rendezvous hashing: the same for every process that knows the same hosts. */
-export const relayOf = (key: string, hosts: readonly string[]): string | undefined => {
+export const rendezvousHost = (key: string, hosts: readonly string[]): string | undefined => {
   const hash = hashOf(key)
   return minBy(hosts, host => rendezvousScore(hash, hashOf(host)))
 }
@@ -46,7 +46,7 @@
 const settleMs = 150
 
 /** The sources in use. They stay the same for as long as the hosts that they were selected from. */
-export class NewsSources {
+export class UpdateSources {
   /** For each engine's host, the host of the side process that sends its updates. */
   #sources: ReadonlyMap<string, string> = new Map()
   /** The hosts that the sources were selected from, the hosts as of the last check, and since when those are unchanged. */
@@ -59,7 +59,7 @@
   constructor (private readonly log: Log) {}
 
   /** The host of the side process that sends the updates of the engine at `host`. */
-  of (host: string): string {
+  sourceOf (host: string): string {
     return this.#sources.get(host) ?? host
   }
 
@@ -67,20 +67,20 @@
    * Hosts of the engines whose updates the side process at `host` has to send. Before the first selection, a local one sends
    * those of its own engine.
    */
-  toldBy (host: string, isLocal: boolean): string[] {
+  subscriptionsAt (host: string, isLocal: boolean): string[] {
     const engines = [...this.#sources].filter(([, source]) => source === host).map(([engine]) => engine)
     return engines.length === 0 && isLocal ? [host] : engines
   }
 
   /** Selects the sources again if the hosts have changed and are stable. Returns whether it did. */
-  choose ({ near: localHosts, far: remoteHosts }: NewsHosts): boolean {
+  select ({ local: localHosts, remote: remoteHosts }: SourceHosts): boolean {
     const now = nowMs()
     // Without remote engines no relay is needed. This includes the time before any engine is known.
     if (localHosts.length > 0 || remoteHosts.length === 0) this.#noRelaySince = Infinity
     else this.#noRelaySince = Math.min(this.#noRelaySince, now)
     const direct = now - this.#noRelaySince > noRelayTimeoutMs
     if (!this.#hasSettled([direct, ...localHosts, '', ...remoteHosts].join(), now)) return false
-    this.#replace(localHosts.length > 0 || direct ? newsSources({ near: localHosts, far: remoteHosts }) : new Map())
+    this.#replace(localHosts.length > 0 || direct ? selectUpdateSources({ local: localHosts, remote: remoteHosts }) : new Map())
     return true
   }
 
--- a/packages/fleet/src/entry/watch-duty.ts
+++ b/packages/fleet/src/entry/watch-duty.ts
@@ -12,23 +12,23 @@
 /** Longer than a watch call waits, pauses, and is reported through a side process: 1.5 s, 2.4 s and 1.1 s at most. */
 const staleMs = 6000
 
-export interface DutyView {
+export interface WatchDutyInput {
   /** The last appointment from each responsive local side process. */
   appointments: ReadonlyArray<Pick<Appointment, 'watch' | 'outage'>>
   /** Whether every kind of fact has been received completely, from the store or from a peer. */
-  read: boolean
+  hasSynced: boolean
   /** Time since the list of servers was last confirmed to be complete. */
   confirmedMs: number
   /** Whether a recent proof that the routing table is current is needed and missing. */
-  unproven: boolean
+  lacksProof: boolean
 }
 
-export interface Duty {
+export interface WatchDuty {
   watch: boolean
   reason: 'nobody near to name watchers' | 'named' | 'nothing read yet' | 'nothing was confirmed' | 'keys are not confirmed' | 'left to others'
 }
 
-export const dutyOf = ({ appointments, read, confirmedMs, unproven }: DutyView): Duty => {
+export const decideWatchDuty = ({ appointments, hasSynced: read, confirmedMs, lacksProof: unproven }: WatchDutyInput): WatchDuty => {
   if (appointments.length === 0) return { watch: true, reason: 'nobody near to name watchers' }
   if (appointments.some(({ watch }) => watch)) return { watch: true, reason: 'named' }
   if (!read) return { watch: true, reason: 'nothing read yet' }
--- a/packages/fleet/src/fact-exchange.ts
+++ b/packages/fleet/src/fact-exchange.ts
@@ -8,7 +8,7 @@
  * answer. All other links delay a fact and send it only if the peer still lacks it.
  */
 import type { Log } from '@finchpitch/core'
-import type { Channel, Complete, FactFrame, Frame, StoreSight } from '@finchpitch/wire'
+import type { Channel, CompleteRevisions, FactFrame, Frame, StoreSight } from '@finchpitch/wire'
 import { observedRevision, factOf, frameOf, isFinal, type Fact } from './fact.js'
 import type { Facts } from './facts.js'
 
@@ -37,7 +37,7 @@
   readonly #known = new Map<string, number>()
   readonly #stops: Array<() => void>
   /** The revisions up to which the peer reports that it has everything. */
-  #complete: Complete = { table: 0, server: 0, version: 0 }
+  #complete: CompleteRevisions = { table: 0, server: 0, version: 0 }
 
   #delayMs: number
   #started = false
@@ -67,7 +67,7 @@
   }
 
   /** Records what the peer's hello or heartbeat says it has. */
-  updateComplete (complete: Complete | undefined): void {
+  updateComplete (complete: CompleteRevisions | undefined): void {
     if (complete !== undefined) this.#complete = complete
   }
 
--- a/packages/fleet/src/facts.ts
+++ b/packages/fleet/src/facts.ts
@@ -8,7 +8,7 @@
  */
 import { isDeepStrictEqual } from 'node:util'
 import type { Log } from '@finchpitch/core'
-import type { Complete, StoreSight } from '@finchpitch/wire'
+import type { CompleteRevisions, StoreSight } from '@finchpitch/wire'
 import { nowMs } from './clock.js'
 import { isRelisted, supersedes, type Fact } from './fact.js'
 import { Freshness } from './freshness.js'
@@ -44,7 +44,7 @@
   readonly #tombstones = new Map<string, number>()
   readonly #listeners = new Set<Listener>()
   readonly #statusListeners = new Set<() => void>()
-  readonly #complete: Complete = { table: 0, server: 0, version: 0 }
+  readonly #complete: CompleteRevisions = { table: 0, server: 0, version: 0 }
   #routes: RouteIndex | undefined
   #highest = 0
   #storeStatus: StoreSight = 'resting'
@@ -93,7 +93,7 @@
   }
 
   /** For each kind, the revision up to which this replica is complete. */
-  get complete (): Complete {
+  get complete (): CompleteRevisions {
     return { ...this.#complete }
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** Records how far a peer is that forwards everything it learns without delay: this replica is complete up to there too. */
-  markAllComplete (complete: Complete): void {
+  markAllComplete (complete: CompleteRevisions): void {
     for (const kind of kinds) this.markComplete(kind, complete[kind])
   }
 
--- a/packages/fleet/src/side/engine-update.ts
+++ b/packages/fleet/src/side/engine-update.ts
@@ -6,7 +6,7 @@
  * receives updates of every engine.
  */
 import { isDeepStrictEqual } from 'node:util'
-import { encode, type HoldingFrame } from '@finchpitch/wire'
+import { encodeFrame, type EngineUpdateFrame } from '@finchpitch/wire'
 import { nowMs } from '../clock.js'
 import type { LoadedVersions } from '../engine-mirror.js'
 import { isUnreadChangeSignificant } from '../unread.js'
@@ -55,13 +55,13 @@
   encodeSince (previous: EngineUpdate | undefined): Buffer {
     const cached = previous === undefined ? this.#fullFrame : this.#frames.get(previous)
     if (cached !== undefined) return cached
-    const frame = encode(this.#deltaFrom(previous?.snapshot))
+    const frame = encodeFrame(this.#deltaFrom(previous?.snapshot))
     if (previous === undefined) this.#fullFrame = frame
     else this.#frames.set(previous, frame)
     return frame
   }
 
-  #deltaFrom (previous: EngineSnapshot | undefined): HoldingFrame {
+  #deltaFrom (previous: EngineSnapshot | undefined): EngineUpdateFrame {
     const { host, held, coming, warm } = this.snapshot
     const { came, went } = diffKeys(previous?.held ?? new Map(), held)
     return {
@@ -87,7 +87,7 @@
  * two fields, and most of what updates cost a subscriber is decoding: with all fields in each update, an entry spent 1.0% of a core
  * on that, of some 6% in all.
  */
-const changedFields = (previous: EngineSnapshot | undefined, current: EngineSnapshot): Partial<HoldingFrame> => {
+const changedFields = (previous: EngineSnapshot | undefined, current: EngineSnapshot): Partial<EngineUpdateFrame> => {
   const changed = scalarFields.filter(field => current[field] !== previous?.[field])
   return Object.fromEntries(changed.map(field => [field, current[field] ?? unsetValues[field]]))
 }
--- a/packages/fleet/src/side/placement.ts
+++ b/packages/fleet/src/side/placement.ts
@@ -35,7 +35,7 @@
 
 export interface PlacementInput {
   spec: EngineSpec
-  account: EngineStatus
+  status: EngineStatus
   /** Pending demands, the most urgent first. */
   demands: readonly Demand[]
   /** The newest version that the store names for an adapter. */
@@ -64,19 +64,19 @@
 const none: Placement = { type: 'nothing' }
 
 export const decidePlacement = (input: PlacementInput): Placement => {
-  if (input.account.busy) return none
+  if (input.status.busy) return none
   return placeModel(input) ?? replaceOutdated(input) ?? placeAdapter(input) ?? none
 }
 
 const orderTo = (input: PlacementInput, operation: 'load' | 'unload', key: string, reason: string, version?: number): Placement =>
-  ({ type: 'order', order: { operation, ...parseRef(key), version, expectedOrders: input.account.orders }, reason })
+  ({ type: 'order', order: { operation, ...parseRef(key), version, expectedOrders: input.status.orders }, reason })
 
 /**
  * Loads the most urgent demanded model that is missing. An engine without models and demands gets the first of its service. If
  * memory is short, a model that is neither in use nor demanded is unloaded first.
  */
 const placeModel = (input: PlacementInput): Placement | undefined => {
-  const { spec, account: status, demands } = input
+  const { spec, status, demands } = input
   const demanded = demands.map(demand => parseRef(demand.key).model).filter(name => spec.models.some(model => model.name === name))
   const missing = demanded.find(name => !status.models.some(model => model.name === name))
   const choice = missing ?? (status.models.length === 0 ? spec.models[0]?.name : undefined)
@@ -89,11 +89,11 @@
 }
 
 const modelUses = (input: PlacementInput, name: string): number => {
-  const adapters = loadedAdapters(input.account).filter(held => parseRef(held.key).model === name)
+  const adapters = loadedAdapters(input.status).filter(held => parseRef(held.key).model === name)
   return adapters.reduce((sum, held) => sum + input.uses(held.key), input.uses(name))
 }
 
-const usedMemoryMb = ({ spec, account: status }: PlacementInput): number => {
+const usedMemoryMb = ({ spec, status }: PlacementInput): number => {
   const sizes = new Map(spec.models.map(model => [model.name, model]))
   const held = status.models.reduce((sum, model) => sum + (sizes.get(model.name)?.memoryMb ?? 0), 0)
   const adapters = [...loadedAdapters(status), ...status.coming]
@@ -102,7 +102,7 @@
 
 /** Replaces an adapter for which a newer version is named if it is in use or popular, otherwise unloads it. */
 const replaceOutdated = (input: PlacementInput): Placement | undefined => {
-  const { account: status } = input
+  const { status } = input
   for (const held of loadedAdapters(status)) {
     const newest = input.newestVersion(held.key)
     if (newest === undefined || newest <= held.version || isLoading(status, held.key)) continue
@@ -119,7 +119,7 @@
 const isLoading = (status: EngineStatus, key: string): boolean => status.coming.some(coming => coming.key === key)
 
 const freeSlots = (input: PlacementInput): number => {
-  const { spec, account: status } = input
+  const { spec, status } = input
   const taken = loadedAdapters(status).length + status.coming.length
   const perAdapter = Math.max(1, ...spec.models.map(model => model.adapterMemoryMb))
   const byMemory = Math.floor((spec.weightMemoryMb - usedMemoryMb(input)) / perAdapter)
@@ -130,7 +130,7 @@
 const assumedLoadMs = 250
 
 const chooseVictim = (input: PlacementInput): string | undefined => {
-  const candidates: EvictionCandidate[] = loadedAdapters(input.account).map(({ key }) => ({
+  const candidates: EvictionCandidate[] = loadedAdapters(input.status).map(({ key }) => ({
     label: key,
     pins: input.uses(key),
     popularity: input.popularity(key),
@@ -140,7 +140,7 @@
 }
 
 const placeAdapter = (input: PlacementInput): Placement | undefined => {
-  const { account: status, demands } = input
+  const { status, demands } = input
   const held = new Map(loadedAdapters(status).map(each => [each.key, each.version]))
   for (const { key, version, waitedMs } of demands) {
     const ref = parseRef(key)
--- a/packages/fleet/src/side/poll-delay.ts
+++ b/packages/fleet/src/side/poll-delay.ts
@@ -13,14 +13,14 @@
 const pendingDemandMs = 60
 
 export interface PollState {
-  account: Pick<EngineStatus, 'busy' | 'coming'>
+  status: Pick<EngineStatus, 'busy' | 'coming'>
   /** Keys that are demanded and not loaded. */
   demandedKeys: Iterable<string>
   /** Delay until the next load is due to complete, at most `maxMs`. */
   dueInMs: (maxMs: number) => number
 }
 
-export const nextPollDelayMs = ({ account: status, demandedKeys, dueInMs }: PollState): number => {
+export const nextPollDelayMs = ({ status, demandedKeys, dueInMs }: PollState): number => {
   const loading = new Set(status.coming.map(({ key }) => key))
   const hasUnordered = [...demandedKeys].some(key => !loading.has(key))
   if (hasUnordered) return dueInMs(pendingDemandMs)
--- a/packages/fleet/src/side/quota-bank.ts
+++ b/packages/fleet/src/side/quota-bank.ts
@@ -7,7 +7,7 @@
  * taken as expired, and a bank starts empty after a restart.
  */
 import { ExpiringTokens, sliceAgeMs, type TokenSlice } from '@finchpitch/decisions'
-import type { FrameOf, RequestAge, TokenAge } from '@finchpitch/wire'
+import type { FrameOf, AgedRequests, AgedTokens } from '@finchpitch/wire'
 import { boottimeMs } from '../clock.js'
 
 /** Lifetime of an unmet request for tokens. Entries repeat theirs every 250 ms while they need more. */
@@ -64,7 +64,7 @@
       for (const [team, tokens, ageMs] of gives) poolOf(this.#teamPools, team).tokens.add(tokens, now - ageMs - maxTransitMs)
       for (const [limit, requests, ageMs] of servers?.gives ?? []) poolOf(this.#limitPools, limit).tokens.add(requests, now - ageMs - maxTransitMs)
     }
-    const grants: TokenAge[] = []
+    const grants: AgedTokens[] = []
     for (const [team, tokens] of wants) {
       const lifetimeMs = lifetimeOf(team)
       if (lifetimeMs !== undefined) grants.push(...this.#grantTokens(entry, team, tokens, now - lifetimeMs))
@@ -74,7 +74,7 @@
     return { type: 'quota_grant', stamp, bankStamp: now, grants, needed: this.#teamsInNeed(now), ...(requests === undefined ? {} : { servers: requests }) }
   }
 
-  #grantTokens (entry: string, team: string, tokens: number, since: number): TokenAge[] {
+  #grantTokens (entry: string, team: string, tokens: number, since: number): AgedTokens[] {
     const pool = poolOf(this.#teamPools, team)
     const part = pool.share(entry, tokens, since)
     pool.noteUnmet(entry, tokens - part)
@@ -85,7 +85,7 @@
    * Grants whole requests only. With a limit of 1.3 requests a second divided among 26 entries, each would get a twentieth of a
    * request, which expires before it adds up to a whole one.
    */
-  #grantRequests (entry: string, limit: string, count: number, since: number): RequestAge[] {
+  #grantRequests (entry: string, limit: string, count: number, since: number): AgedRequests[] {
     const pool = poolOf(this.#limitPools, limit)
     const share = Math.max(1, Math.floor(pool.share(entry, count, since)))
     const whole = Math.min(count, share, Math.floor(pool.tokens.total(since) + roundingTolerance))
--- a/packages/fleet/src/side/side-process.ts
+++ b/packages/fleet/src/side/side-process.ts
@@ -79,7 +79,7 @@
   async accept (stream: Duplex): Promise<void> {
     const { log, facts, domain } = this.options
     const channel = new Channel(stream, this.options.channel)
-    const greeted = channel.greeted.then(welcome => welcome ? this.#join(channel) : undefined)
+    const greeted = channel.helloReceived.then(welcome => welcome ? this.#join(channel) : undefined)
     for await (const frame of channel.frames()) {
       const subscriber = await greeted
       if (subscriber !== undefined) this.#handleFrame(frame, subscriber)
@@ -111,7 +111,7 @@
     this.#settleLoaded(status)
     const placement = decidePlacement({
       spec,
-      account: status,
+      status,
       demands: this.demands.prioritized(),
       newestVersion: key => this.options.facts.version(key)?.version,
       popularity: key => this.demands.popularity(key),
@@ -124,7 +124,7 @@
       return 0
     }
     if (placement.type === 'order') return await this.#sendOrder(status, placement.order, placement.reason)
-    return nextPollDelayMs({ account: status, demandedKeys: this.demands.keys(), dueInMs: maxMs => this.#loadTimes.nextPollInMs(maxMs) })
+    return nextPollDelayMs({ status, demandedKeys: this.demands.keys(), dueInMs: maxMs => this.#loadTimes.nextPollInMs(maxMs) })
   }
 
   async #poll (): Promise<boolean> {
--- a/packages/fleet/src/side/subscriber.ts
+++ b/packages/fleet/src/side/subscriber.ts
@@ -8,13 +8,13 @@
  * domains in one minute; with subscriptions, it is 0.071 GB.
  */
 import { isDeepStrictEqual } from 'node:util'
-import { encode, type Appointment, type Channel, type ChannelPace, type Complete, type StoreSight } from '@finchpitch/wire'
+import { encodeFrame, type Appointment, type Channel, type ChannelPace, type CompleteRevisions, type StoreSight } from '@finchpitch/wire'
 import { nowMs } from '../clock.js'
 import { forwardDelayBySight, forwardDelayMs, type FactLink } from '../fact-exchange.js'
 import { UpdateThrottle, updatePolicies, type EngineUpdate } from './engine-update.js'
 
 /** For channels with little traffic: heartbeats between domains cost bandwidth, and an unanswered demand reveals a dead channel. */
-export const idleChannelPace: ChannelPace = { heartbeatMs: 5000, silenceMs: 12_000, steady: false }
+export const idleChannelPace: ChannelPace = { heartbeatMs: 5000, silenceTimeoutMs: 12_000, alwaysHeartbeat: false }
 
 /** A demand neither met nor declined after this time was abandoned: entries that still wait repeat theirs sooner. */
 const demandTtlMs = 3000
@@ -53,7 +53,7 @@
   #sight: StoreSight | undefined
   /** Whether the peer does not read the store itself and depends on this process for its data. */
   #dependent = false
-  #lastComplete: Complete | undefined
+  #lastComplete: CompleteRevisions | undefined
   #completeSentAt = -Infinity
   #appointment: Appointment | undefined
   readonly #engineHost: string
@@ -125,7 +125,7 @@
    * Tells a dependent peer up to which revision it has received everything, and repeats this now and then. `confirmedAt` is when
    * the store or a peer last confirmed it.
    */
-  sendComplete (complete: Complete, confirmedAt: number): void {
+  sendComplete (complete: CompleteRevisions, confirmedAt: number): void {
     if (!this.#dependent) return
     const needsRepeat = confirmedAt - this.#completeSentAt > confirmIntervalMs
     if (!needsRepeat && isDeepStrictEqual(complete, this.#lastComplete)) return
@@ -185,7 +185,7 @@
       const version = own.snapshot.held.get(key)
       if (version === undefined) continue
       this.#demanded.delete(key)
-      if (!this.subscribesToOwnEngine) frames.push(encode({ type: 'arrived', key, version }))
+      if (!this.subscribesToOwnEngine) frames.push(encodeFrame({ type: 'arrived', key, version }))
     }
     return frames
   }
--- a/packages/fleet/src/side/update-relay.ts
+++ b/packages/fleet/src/side/update-relay.ts
@@ -89,7 +89,7 @@
     const factLink = new FactLink(facts, channel, forwardDelayMs.remoteSide, log)
     let lastUpdateAt = nowMs()
     const silenceTimer = setInterval(() => { if (nowMs() - lastUpdateAt > silenceTimeoutMs) channel.close({ reason: 'silent' }) }, silenceCheckMs)
-    void channel.greeted.then(welcome => {
+    void channel.helloReceived.then(welcome => {
       if (!welcome) return
       channel.send({ type: 'follow', hosts: [host], relay: true })
       factLink.start(forwardDelayMs.newcomer)
--- a/packages/fleet/test/attempt.test.ts
+++ b/packages/fleet/test/attempt.test.ts
@@ -60,7 +60,7 @@
     onConnected: () => {},
     stream: false,
     eventFramer: undefined,
-    delivery: { started: false } as unknown as CallerResponse,
+    callerResponse: { started: false } as unknown as CallerResponse,
     cancellation: new Cancellation(),
     onResponse: () => {},
     onServerFeedback: feedback => serverFeedback.push(feedback)
--- a/packages/fleet/test/balancer.test.ts
+++ b/packages/fleet/test/balancer.test.ts
@@ -1,4 +1,4 @@
-import { quietLog } from '@finchpitch/core'
+import { silentLog } from '@finchpitch/core'
 import { Balancer, Facts, queuedBehind, noLimits, type Choice, type LimitState, type LimitsView, type PendingRequest, nowMs, removalRevisionStep, fallbackRetentionMs, type BackendServer, type FleetService, type Limits, type RoutingTable } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
@@ -12,13 +12,13 @@
 const limits: Limits = { graceMs: 8000, drainMs: 2000, versionMs: 5000, retryRatio: 0.2, retryWindowMs: 10_000, retrySlack: 50, loadWindowMs: 5000, loadOverage: 1.1, quotaWindowMs: 8000, quotaOverage: 0, quotaSlack: 0 }
 const server = (id: string): BackendServer => ({ id, service: 'llm', address: `10.0.0.${id}:80`, domain: 'a', slots: 8, leaving: false, models: [] })
 const selection = { service: engines, key: 'm/x', promptTokens: 10, inTimeMs: 600, priority: 1, excluded: new Set<string>() }
-const links = { orderable: () => true, warm: () => false, awaits: () => false, want: () => {}, usesChanged: () => {} }
+const links = { canRequestLoad: () => true, warm: () => false, isLoadRequested: () => false, requestLoad: () => {}, scheduleUsesReport: () => {} }
 
 describe('balancer', () => {
   const create = (placers = links, serverLimits: LimitsView = noLimits): { facts: Facts, balancer: Balancer } => {
-    const facts = new Facts(quietLog, () => 1000)
+    const facts = new Facts(silentLog, () => 1000)
     facts.offer({ kind: 'table', key: 'table', revision: 1, value: table }, 'store')
-    const balancer = new Balancer(facts, 'a', () => limits, () => placers, quietLog, () => 1, serverLimits)
+    const balancer = new Balancer(facts, 'a', () => limits, () => placers, silentLog, () => 1, serverLimits)
     for (const id of ['1', '2']) {
       facts.offer({ kind: 'server', key: id, revision: 2, value: server(id) }, 'store')
       balancer.state(server(id))
@@ -38,7 +38,7 @@
   })
 
   it('waits for a load that was requested recently instead of requesting it from another engine', () => {
-    const { balancer } = create({ ...links, awaits: () => true })
+    const { balancer } = create({ ...links, isLoadRequested: () => true })
     expect(balancer.choose({ ...selection, key: 'm/y' })).to.deep.include({ type: 'bring', ask: undefined })
     expect(create().balancer.choose({ ...selection, key: 'm/y' })).to.have.property('ask').that.is.oneOf(['1', '2'])
   })
@@ -46,7 +46,7 @@
   describe('with rate-limited servers', () => {
     const exhausted: LimitState = { ready: false, readyInMs: 300, perSecond: 2 }
     const available: LimitState = { ready: true, readyInMs: 0, perSecond: 2 }
-    const limitsOf = (states: Record<string, LimitState>): LimitsView => ({ ...noLimits, none: false, state: ({ id }) => states[id] })
+    const limitsOf = (states: Record<string, LimitState>): LimitsView => ({ ...noLimits, isEmpty: false, state: ({ id }) => states[id] })
     const choose = (states: Record<string, LimitState>, key = 'm/x'): Choice => create(links, limitsOf(states)).balancer.choose({ ...selection, key })
 
     it('selects the holder while its limit allows a request', () => {
@@ -73,15 +73,15 @@
     })
 
     it('returns the id of the server that is skipped because its limit is used up', async () => {
-      const refusing: LimitsView = { ...limitsOf({ 1: exhausted }), bring: async ({ id }) => id !== '1' }
+      const refusing: LimitsView = { ...limitsOf({ 1: exhausted }), awaitCapacity: async ({ id }) => id !== '1' }
       expect(await create(links, refusing).balancer.awaitRateLimit(selection)).to.equal('1')
       expect(await create(links, limitsOf({ 1: available })).balancer.awaitRateLimit(selection)).to.equal(undefined)
     })
   })
 
   it('applies the connection limit of the routing table, even if that arrives after the server', () => {
-    const facts = new Facts(quietLog, () => 1000)
-    const balancer = new Balancer(facts, 'a', () => limits, () => links, quietLog)
+    const facts = new Facts(silentLog, () => 1000)
+    const balancer = new Balancer(facts, 'a', () => limits, () => links, silentLog)
     facts.offer({ kind: 'server', key: '1', revision: 2, value: server('1') }, 'store')
     balancer.state(server('1'))
     facts.offer({ kind: 'table', key: 'table', revision: 1, value: table }, 'store')
@@ -122,7 +122,7 @@
       expect(choice).to.include({ type: 'resting' })
       // The end of a backoff is spread by up to 100 ms, as other entries wait for it too.
       expect((choice as { readyInMs: number }).readyInMs).to.be.within(2000, 2000 + 100)
-      await time.pass(2100)
+      await time.advance(2100)
       expect(balancer.choose({ ...selection, excluded: new Set(['2']) })).to.include({ type: 'resting' })
       expect(balancer.choose(selection).type).to.equal('bring')
     })
@@ -138,7 +138,7 @@
     it('allows one request after the backoff, and more once that is answered', async () => {
       backOff('1', 1000)
       backOff('2', 60_000)
-      await time.pass(1100)
+      await time.advance(1100)
       expect(balancer.choose(selection)).to.include({ type: 'send', id: '1' })
       const first = begin('1')
       expect(balancer.choose(selection).type).to.equal('full')
@@ -148,7 +148,7 @@
       begin('1')
       balancer.expire()
       expect(balancer.choose(selection).type).to.equal('full')
-      await time.pass(1000)
+      await time.advance(1000)
       balancer.expire()
       expect(balancer.choose(selection).type).to.equal('send')
     })
--- a/packages/fleet/test/caller-connections.test.ts
+++ b/packages/fleet/test/caller-connections.test.ts
@@ -27,9 +27,9 @@
 
   it('are kept while no entry joins, also when one leaves', async () => {
     const socket = open()
-    await time.pass(60_000)
+    await time.advance(60_000)
     connections.setEntryCount(1)
-    await time.pass(60_000)
+    await time.advance(60_000)
     expect(connections.shouldClose(socket)).to.equal(false)
   })
 
@@ -37,7 +37,7 @@
     connections.setEntryCount(0)
     const socket = open()
     connections.setEntryCount(3)
-    await time.pass(60_000)
+    await time.advance(60_000)
     expect(connections.shouldClose(socket)).to.equal(false)
   })
 
@@ -45,14 +45,14 @@
     const before = Array.from({ length: 100 }, open)
     connections.setEntryCount(3)
     const closedCount = (): number => before.filter(socket => connections.shouldClose(socket)).length
-    await time.pass(1400)
+    await time.advance(1400)
     expect(closedCount()).to.equal(0)
-    await time.pass(1350)
+    await time.advance(1350)
     expect(closedCount()).to.be.within(20, 80)
-    await time.pass(1300)
+    await time.advance(1300)
     expect(closedCount()).to.equal(100)
     const later = open()
-    await time.pass(60_000)
+    await time.advance(60_000)
     expect(connections.shouldClose(later)).to.equal(false)
   })
 })
--- a/packages/fleet/test/crash-exchange.test.ts
+++ b/packages/fleet/test/crash-reports.test.ts
@@ -1,6 +1,6 @@
-import { RequestFingerprint, quietLog, type Log } from '@finchpitch/core'
+import { RequestFingerprint, silentLog, type Log } from '@finchpitch/core'
 import { CrashHistory, quarantineLimits, type Crash } from '@finchpitch/decisions'
-import { TryNewsExchange, AttemptReportRelay, Crashes, EntryCounters, Facts, ServerLiveness, reportFrames, nowMs, recordCrashes, type BackendServer, type AttemptReports, type SidePlace } from '@finchpitch/fleet'
+import { AttemptReporter, AttemptReportRelay, CrashTracker, EntryCounters, Facts, ServerLiveness, reportFrames, nowMs, recordCrashes, type BackendServer, type AttemptReports, type ReportTarget } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import type { Channel, Frame, FrameOf } from '@finchpitch/wire'
 import { expect } from 'chai'
@@ -28,17 +28,17 @@
   afterEach(() => time.restore())
 
   describe('sent by an entry to side processes', () => {
-    let places: SidePlace[]
+    let places: ReportTarget[]
     let sides: Map<string, RecordingChannel>
     let warned: string[]
-    let exchange: TryNewsExchange
-    const log = { ...quietLog, warn: (event: string) => { warned.push(event) } } as unknown as Log
-    const begin = (): TryNewsExchange => new TryNewsExchange({ places: () => places, channelTo: host => sides.get(host)?.channel, log })
+    let exchange: AttemptReporter
+    const log = { ...silentLog, warn: (event: string) => { warned.push(event) } } as unknown as Log
+    const begin = (): AttemptReporter => new AttemptReporter({ sideProcesses: () => places, channelTo: host => sides.get(host)?.channel, log })
     const hostsReached = (): string[] => [...sides].filter(([, side]) => side.crashes.length > 0).map(([host]) => host)
 
     beforeEach(() => {
       warned = []
-      places = ['a', 'b'].flatMap(domain => [1, 2, 3].map(each => ({ host: `${domain}${each}`, domain, lively: true })))
+      places = ['a', 'b'].flatMap(domain => [1, 2, 3].map(each => ({ host: `${domain}${each}`, domain, responsive: true })))
       sides = new Map(places.map(({ host }) => [host, new RecordingChannel()]))
       exchange = begin()
     })
@@ -46,52 +46,52 @@
     afterEach(() => exchange.close())
 
     it('go to one side process of each failure domain, the same for all entries', async () => {
-      exchange.tell(reportsOf(crash('s')))
-      await time.pass(10)
+      exchange.report(reportsOf(crash('s')))
+      await time.advance(10)
       const first = hostsReached()
       expect(first.map(host => host.charAt(0))).to.deep.equal(['a', 'b'])
       const second = begin()
-      second.tell(reportsOf(crash('s')))
-      await time.pass(10)
+      second.report(reportsOf(crash('s')))
+      await time.advance(10)
       second.close()
       expect(hostsReached()).to.deep.equal(first)
     })
 
     it('are batched in one frame for all requests that a crash failed', async () => {
-      for (const each of [fingerprint, other]) exchange.tell(reportsOf(crash('s', { fingerprint: each })))
-      await time.pass(10)
+      for (const each of [fingerprint, other]) exchange.report(reportsOf(crash('s', { fingerprint: each })))
+      await time.advance(10)
       expect(sides.get(hostsReached()[0] ?? '')?.crashes.map(frame => frame.crashes.length)).to.deep.equal([2])
     })
 
     it('are delayed and batched for completed runs, but sent at once along with a crash', async () => {
-      const reportCompleted = (): void => exchange.tell({ crashes: [], sound: [{ fingerprint: other, endedAt: nowMs() }], limits: [], probes: [] })
+      const reportCompleted = (): void => exchange.report({ crashes: [], sound: [{ fingerprint: other, endedAt: nowMs() }], limits: [], probes: [] })
       reportCompleted()
-      await time.pass(100)
+      await time.advance(100)
       reportCompleted()
       expect(hostsReached()).to.have.length(0)
-      await time.pass(350)
+      await time.advance(350)
       expect(sides.get(hostsReached()[0] ?? '')?.crashes.map(frame => frame.sound.length)).to.deep.equal([2])
-      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) exchange.noted(host, frame.stamp)
+      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) exchange.handleAck(host, frame.stamp)
       reportCompleted()
-      exchange.tell(reportsOf(crash('s')))
-      await time.pass(10)
+      exchange.report(reportsOf(crash('s')))
+      await time.advance(10)
       expect(sides.get(hostsReached()[0] ?? '')?.crashes.at(-1)).to.have.nested.property('sound.length', 1)
     })
 
     it('are not sent again once they are acknowledged', async () => {
-      exchange.tell(reportsOf(crash('s')))
-      await time.pass(10)
-      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) exchange.noted(host, frame.stamp)
-      await time.pass(3000)
+      exchange.report(reportsOf(crash('s')))
+      await time.advance(10)
+      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) exchange.handleAck(host, frame.stamp)
+      await time.advance(3000)
       expect(hostsReached()).to.have.length(2)
       expect(warned).to.have.length(0)
     })
 
     it('go to the next side process if the first does not answer, with their age at that time', async () => {
-      exchange.tell(reportsOf(crash('s')))
-      await time.pass(10)
+      exchange.report(reportsOf(crash('s')))
+      await time.advance(10)
       const [firstOfA] = hostsReached()
-      await time.pass(600)
+      await time.advance(600)
       const inA = hostsReached().filter(host => host.startsWith('a'))
       expect(inA).to.have.length(2)
       const next = sides.get(inA.find(host => host !== firstOfA) ?? '')
@@ -101,16 +101,16 @@
     it('are sent once a channel that is being opened is available', async () => {
       const available = sides
       sides = new Map()
-      exchange.tell(reportsOf(crash('s')))
-      await time.pass(150)
+      exchange.report(reportsOf(crash('s')))
+      await time.advance(150)
       sides = available
-      await time.pass(150)
+      await time.advance(150)
       expect(hostsReached()).to.have.length(2)
     })
 
     it('are dropped with a warning if no side process answers', async () => {
-      exchange.tell(reportsOf(crash('s')))
-      await time.pass(4000)
+      exchange.report(reportsOf(crash('s')))
+      await time.advance(4000)
       expect(warned).to.deep.equal(['crashes.not_passed_on', 'crashes.not_passed_on'])
     })
   })
@@ -121,7 +121,7 @@
       const relay = new AttemptReportRelay(() => entries.map(entry => entry.channel))
       const [first, ...others] = entries
       for (const frame of reportFrames(reportsOf(crash('s')))) relay.handleReport(first?.channel as Channel, frame)
-      await time.pass(30)
+      await time.advance(30)
       expect(first?.frames.map(frame => frame.type)).to.deep.equal(['crashes_noted'])
       for (const entry of others) expect(entry.crashes.map(frame => frame.crashes.length)).to.deep.equal([1])
       relay.close()
@@ -132,7 +132,7 @@
       const relay = new AttemptReportRelay(() => entries.map(entry => entry.channel))
       for (let each = 0; each < 3; each++) {
         for (const frame of reportFrames(reportsOf(crash('s')))) relay.handleReport(entries[0]?.channel as Channel, frame)
-        await time.pass(30)
+        await time.advance(30)
       }
       expect(entries[1]?.crashes).to.have.length(1)
       relay.close()
@@ -174,7 +174,7 @@
 
   describe('made by an entry', () => {
     let facts: Facts
-    let crashes: Crashes
+    let crashes: CrashTracker
     let sent: AttemptReports[]
     let quarantines: number
     let refusesConnections: boolean
@@ -182,21 +182,21 @@
     const offer = (more: Partial<BackendServer>, revision: number): void => { facts.offer({ kind: 'server', key: 'i', revision, value: { ...server, ...more } }, 'store') }
     const brokeOff = async (more: Partial<BackendServer> = {}): Promise<void> => {
       await crashes.brokeOff({ request: 'r', fingerprint, server: { ...server, ...more }, sentAt: nowMs() - 50 })
-      await time.pass(100)
+      await time.advance(100)
     }
 
     beforeEach(() => {
-      facts = new Facts(quietLog, () => 1000)
+      facts = new Facts(silentLog, () => 1000)
       offer({}, 1)
       sent = []
       quarantines = 0
       refusesConnections = true
-      crashes = new Crashes({ facts, ends: new ServerLiveness(async () => refusesConnections), exchange: { tell: reports => { sent.push(reports) } }, askProbe: async () => true, quarantined: () => { quarantines += 1 }, counters: new EntryCounters(), log: quietLog })
+      crashes = new CrashTracker({ facts, liveness: new ServerLiveness(async () => refusesConnections), reporter: { report: reports => { sent.push(reports) } }, requestProbe: async () => true, onQuarantine: () => { quarantines += 1 }, counters: new EntryCounters(), log: silentLog })
     })
 
     it('count a server that crashed, and are shared with other entries', async () => {
       await brokeOff()
-      expect(crashes.none).to.equal(false)
+      expect(crashes.isEmpty).to.equal(false)
       expect(sent.map(reports => reports.crashes.length)).to.deep.equal([1])
       expect(crashes.quarantine(fingerprint)).to.equal(undefined)
     })
@@ -211,7 +211,7 @@
     it('do not count a broken connection to a server that still accepts connections', async () => {
       refusesConnections = false
       await brokeOff()
-      expect(crashes.none).to.equal(true)
+      expect(crashes.isEmpty).to.equal(true)
       expect(sent).to.have.length(0)
     })
 
@@ -219,13 +219,13 @@
       offer({ leaving: true }, 2)
       await brokeOff()
       await brokeOff({ id: 'unknown' })
-      expect(crashes.none).to.equal(true)
+      expect(crashes.isEmpty).to.equal(true)
     })
 
     it('count a server that is replaced soon after, even if its address never refused connections', async () => {
       refusesConnections = false
       await brokeOff()
-      await time.pass(500)
+      await time.advance(500)
       facts.offer({ kind: 'server', key: 'j', revision: 9, value: { ...server, id: 'j' } }, 'store')
       expect(sent.flatMap(reports => reports.crashes.map(each => [each.server, nowMs() - each.endedAt]))).to.deep.equal([['i', 600]])
     })
@@ -242,7 +242,7 @@
       await brokeOff()
       facts.offer({ kind: 'server', key: 'j', revision: 9, value: { ...server, id: 'j', address: '10.0.0.2:80' } }, 'store')
       offer({ slots: 2 }, 10)
-      await time.pass(15_000)
+      await time.advance(15_000)
       facts.offer({ kind: 'server', key: 'k', revision: 11, value: { ...server, id: 'k' } }, 'store')
       expect(sent).to.have.length(0)
     })
@@ -250,17 +250,17 @@
     it('are combined with those of other entries', async () => {
       await brokeOff()
       const [frame] = reportFrames(reportsOf(crash('j')))
-      crashes.take(frame ?? expect.fail(), 'side')
+      crashes.handleReport(frame ?? expect.fail(), 'side')
       expect(crashes.quarantine(fingerprint)?.servers).to.deep.equal(['i', 'j'])
     })
 
     it('are discarded at all entries once a run of the same request completes', async () => {
       await brokeOff()
       await brokeOff({ id: 'i', bornAt: 5 })
-      crashes.endedWell(fingerprint)
+      crashes.recordCompletion(fingerprint)
       expect(crashes.quarantine(fingerprint)).to.equal(undefined)
       expect(sent.at(-1)?.sound.map(run => run.fingerprint)).to.deep.equal([fingerprint])
-      crashes.endedWell(fingerprint)
+      crashes.recordCompletion(fingerprint)
       expect(sent).to.have.length(3)
     })
   })
--- a/packages/fleet/test/leaving-servers.test.ts
+++ b/packages/fleet/test/draining-servers.test.ts
@@ -8,7 +8,7 @@
  * as before, and no line of any entry about its draining.
  */
 import { pause } from '@finchpitch/core'
-import { FleetLoad, FleetSystem, eventually, type BackendStandIn, type Machine, type Sent } from '@finchpitch/stand-ins'
+import { FleetLoad, FleetSystem, eventually, type BackendStandIn, type Machine, type SentRequest } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 /** From this long after the entry got an answer that says so, a draining server may receive no request that arrives at the entry. */
@@ -25,19 +25,19 @@
   let load: FleetLoad
 
   beforeEach(async () => {
-    fleet = new FleetSystem({ network, domains: 2, entriesPerDomain: 1, enginesPerDomain: 2, plainPerDomain: 2, places: 4, loadMs: 20, workMs: 10, events: 3, eventMs: 5 })
+    fleet = new FleetSystem({ network, domains: 2, entriesPerDomain: 1, enginesPerDomain: 2, plainServersPerDomain: 2, adapterSlots: 4, loadMs: 20, workMs: 10, events: 3, eventMs: 5 })
     await fleet.start()
     load = new FleetLoad(fleet, 'leave')
-    await load.served(paths)
+    await load.waitUntilServed(paths)
   })
 
   afterEach(async function () {
-    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.keepLines(this.currentTest.title)}`)
+    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.saveLogLines(this.currentTest.title)}`)
     await fleet.stop()
   })
 
   /** Ids of requests that reached `server` although an entry got them later than `drainMs` after its first such answer. */
-  const lateArrivals = (server: BackendStandIn, sent: Sent[], leavingAt: number): string[] => fleet.entries.flatMap((_, entry) => {
+  const lateArrivals = (server: BackendStandIn, sent: SentRequest[], leavingAt: number): string[] => fleet.entries.flatMap((_, entry) => {
     const ofEntry = sent.filter(each => each.entry === entry)
     const answeredAt = ofEntry.filter(each => each.server === server.id && each.at >= leavingAt).map(each => each.endedAt)
     const drainedAt = Math.min(...answeredAt) + drainMs
@@ -51,7 +51,7 @@
   }
 
   it('receive no requests after the drain time, while the store is silent', async () => {
-    const [engine, plain] = [fleet.engines.find(each => each.adapters.has('a1')), fleet.plain[0]] as BackendStandIn[]
+    const [engine, plain] = [fleet.engines.find(each => each.adapters.has('a1')), fleet.plainServers[0]] as BackendStandIn[]
     fleet.store.fault = 'silent'
     const leavingAt = leave(engine as BackendStandIn, plain as BackendStandIn)
     const sent = await load.sendFor(drainMs + 1500, requestIntervalMs, paths)
@@ -78,7 +78,7 @@
   it('load adapters again after a restart under the same id, with none loaded', async () => {
     for (const engine of fleet.engines) {
       engine.bornAt = 1000
-      fleet.list(engine)
+      fleet.relist(engine)
     }
     await pause(1000)
     const engine = fleet.engines.find(each => each.adapters.has('a1')) as BackendStandIn
@@ -87,7 +87,7 @@
     engine.restart(engine.id)
     engine.leaving = false
     engine.bornAt = 2000
-    fleet.list(engine)
+    fleet.relist(engine)
     // The other engines drain, so that only this one takes requests.
     leave(...fleet.engines.filter(each => each !== engine))
     await pause(2000)
@@ -99,8 +99,8 @@
   it('make entries answer at once when they are the last of their service', async () => {
     fleet.store.fault = 'silent'
     await pause(3500)
-    leave(...fleet.plain)
-    for (let each = 0; each < fleet.plain.length; each++) await Promise.all([...fleet.entries.keys()].map(async entry => await load.send(entry, '/again/x')))
+    leave(...fleet.plainServers)
+    for (let each = 0; each < fleet.plainServers.length; each++) await Promise.all([...fleet.entries.keys()].map(async entry => await load.send(entry, '/again/x')))
     const sent = await Promise.all([...fleet.entries.keys()].map(async entry => await load.send(entry, '/again/x')))
     for (const { status, at, endedAt } of sent) {
       expect(status).to.equal(503)
@@ -109,20 +109,20 @@
   })
 
   it('receive no requests when the store lists them as ready again, until they have restarted under the same id', async () => {
-    const plain = fleet.plain[0] as BackendStandIn
+    const plain = fleet.plainServers[0] as BackendStandIn
     plain.bornAt = 1000
-    fleet.list(plain)
+    fleet.relist(plain)
     await pause(1000)
     const leavingAt = leave(plain)
     const before = await load.sendFor(drainMs + 200, requestIntervalMs, paths)
     fleet.store.remove('servers', plain.id)
     await pause(200)
-    fleet.list(plain)
+    fleet.relist(plain)
     const sent = [...before, ...await load.sendFor(1500, requestIntervalMs, paths)]
     expect(lateArrivals(plain, sent, leavingAt)).to.deep.equal([])
     plain.leaving = false
     plain.bornAt = 2000
-    fleet.list(plain)
+    fleet.relist(plain)
     await pause(1000)
     expect((await load.sendFor(500, requestIntervalMs, paths)).some(each => each.server === plain.id)).to.equal(true)
   })
--- a/packages/fleet/test/engine-mirror.test.ts
+++ b/packages/fleet/test/engine-mirror.test.ts
@@ -1,13 +1,13 @@
 import { EngineMirror } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
-import type { HoldingFrame } from '@finchpitch/wire'
+import type { EngineUpdateFrame } from '@finchpitch/wire'
 import { expect } from 'chai'
 
 describe('EngineMirror', () => {
   let time: FakeTime
   let mirror: EngineMirror
 
-  const update = (more: Partial<HoldingFrame> = {}): void => mirror.apply({ type: 'holding', host: '10.0.0.1', ...more })
+  const update = (more: Partial<EngineUpdateFrame> = {}): void => mirror.apply({ type: 'holding', host: '10.0.0.1', ...more })
   const all = { reachable: true, server: 's', waiting: 2, running: 3, unread: 4000, entries: 1, strangers: 0, fence: 1 }
 
   beforeEach(() => {
@@ -74,14 +74,14 @@
       mirror.recordLoaded('m/b', 3)
       expect(mirror.held.get('m/b')).to.equal(3)
       update({ came: { 'm/b': 3 } })
-      await time.pass(1500)
+      await time.advance(1500)
       update()
       expect(mirror.held.get('m/b')).to.equal(3)
     })
 
     it('drops the adapter if no update confirms it', async () => {
       mirror.recordLoaded('m/b', 3)
-      await time.pass(1500)
+      await time.advance(1500)
       update()
       expect(mirror.held.has('m/b')).to.equal(false)
     })
--- a/packages/fleet/test/lapsed-quarantine.test.ts
+++ b/packages/fleet/test/expired-quarantine.test.ts
@@ -11,7 +11,7 @@
  * same fingerprint at all three within 0.1 s.
  */
 import { pause } from '@finchpitch/core'
-import { FleetSystem, askFleet } from '@finchpitch/stand-ins'
+import { FleetSystem, sendToFleet } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 const fatalPath = '/stream/fatal'
@@ -30,7 +30,7 @@
   let fleet: FleetSystem
 
   before(async () => {
-    fleet = new FleetSystem({ network: 49, domains: 3, entriesPerDomain: 1, enginesPerDomain: 2, plainPerDomain: 1, places: 8, loadMs: 20, workMs: 20, events: 4, eventMs: 10 })
+    fleet = new FleetSystem({ network: 49, domains: 3, entriesPerDomain: 1, enginesPerDomain: 2, plainServersPerDomain: 1, adapterSlots: 8, loadMs: 20, workMs: 20, events: 4, eventMs: 10 })
     await fleet.start()
     for (const engine of fleet.engines) Object.assign(engine, { fatalPath, fatalMs: crashDelayMs })
   })
@@ -38,13 +38,13 @@
   after(() => fleet.stop())
 
   afterEach(async function () {
-    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.keepLines(this.currentTest.title)}`)
+    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.saveLogLines(this.currentTest.title)}`)
   })
 
   it('is sent at most three more times, however many copies arrive at all entries', async () => {
     const until = performance.now() + testMs
     for (let each = 0; performance.now() < until; each++) {
-      for (const entry of fleet.entries.keys()) void askFleet(fleet, { path: fatalPath, id: `fatal-${entry}-${each}`, model: 'base', entry }).catch(() => undefined)
+      for (const entry of fleet.entries.keys()) void sendToFleet(fleet, { path: fatalPath, id: `fatal-${entry}-${each}`, model: 'base', entry }).catch(() => undefined)
       await pause(requestIntervalMs)
     }
     const runs = fleet.engines.flatMap(engine => engine.arrivals).filter(({ id, refused }) => id.startsWith('fatal-') && !refused).map(({ at }) => at).sort((a, b) => a - b)
--- a/packages/fleet/test/fact-exchange.test.ts
+++ b/packages/fleet/test/fact-exchange.test.ts
@@ -1,11 +1,11 @@
-import { Revision, quietLog } from '@finchpitch/core'
+import { Revision, silentLog } from '@finchpitch/core'
 import { FactLink, Facts, frameOf, type Fact } from '@finchpitch/fleet'
 import { FakeTime, channelOptions, duplexPair } from '@finchpitch/stand-ins'
-import { Channel, type Complete, type FrameOf } from '@finchpitch/wire'
+import { Channel, type CompleteRevisions, type FrameOf } from '@finchpitch/wire'
 import { expect } from 'chai'
 
 const fact = (revision: number): Fact => ({ kind: 'version', key: 'm/a', revision, value: { model: 'm', adapter: 'a', version: revision } })
-const complete = (version: number): Complete => ({ table: 0, server: 0, version })
+const complete = (version: number): CompleteRevisions => ({ table: 0, server: 0, version })
 
 describe('FactLink', () => {
   let time: FakeTime
@@ -16,7 +16,7 @@
 
   beforeEach(() => {
     time = new FakeTime()
-    facts = new Facts(quietLog, () => 1000)
+    facts = new Facts(silentLog, () => 1000)
     received = []
     const [one, other] = duplexPair()
     local = new Channel(one, channelOptions('near'))
@@ -33,7 +33,7 @@
 
   it('sends changes immediately to a peer without another source', async () => {
     await time.settle()
-    const link = new FactLink(facts, local, 0, quietLog)
+    const link = new FactLink(facts, local, 0, silentLog)
     link.start()
     facts.offer(fact(3), 'store')
     await time.settle()
@@ -44,18 +44,18 @@
     it('sends everything after the short delay', async () => {
       facts.offer(fact(3), 'store')
       await time.settle()
-      new FactLink(facts, local, 1500, quietLog).start(250)
-      await time.pass(300)
+      new FactLink(facts, local, 1500, silentLog).start(250)
+      await time.advance(300)
       expect(received).to.deep.equal([3])
     })
 
     it('sends nothing if the peer reads the store in the meantime', async () => {
       facts.offer(fact(3), 'store')
       await time.settle()
-      const link = new FactLink(facts, local, 1500, quietLog)
+      const link = new FactLink(facts, local, 1500, silentLog)
       link.start(250)
       link.updateComplete(complete(3))
-      await time.pass(2000)
+      await time.advance(2000)
       expect(received).to.deep.equal([])
     })
 
@@ -67,7 +67,7 @@
       }
       const [one] = duplexPair()
       const channel = new Channel(one, { ...channelOptions('near'), heartbeat })
-      const link = new FactLink(facts, channel, 1500, quietLog)
+      const link = new FactLink(facts, channel, 1500, silentLog)
       facts.markComplete('table', 4)
       facts.markComplete('server', 4)
       expect(beats).to.equal(0)
@@ -80,12 +80,12 @@
 
   it('does not send what the peer reports to have before the delay ends', async () => {
     await time.settle()
-    const link = new FactLink(facts, local, 1500, quietLog)
+    const link = new FactLink(facts, local, 1500, silentLog)
     link.start()
     facts.offer(fact(3), 'store')
-    await time.pass(1000)
+    await time.advance(1000)
     link.updateComplete(complete(3))
-    await time.pass(1000)
+    await time.advance(1000)
     expect(received).to.deep.equal([])
   })
 
@@ -98,7 +98,7 @@
     })
 
     it('sends the removal to a peer that is complete only up to a revision before the removal was observed', async () => {
-      const link = new FactLink(facts, local, 0, quietLog)
+      const link = new FactLink(facts, local, 0, silentLog)
       link.start()
       await time.settle()
       link.updateComplete({ table: 50, server: 50, version: 50 })
@@ -108,10 +108,10 @@
     })
 
     it('makes the peer drop the server immediately on a final removal', async () => {
-      const other = new Facts(quietLog, () => 1000)
+      const other = new Facts(silentLog, () => 1000)
       const server = { id: 's', service: 'llm', address: '10.0.0.1:1', domain: 'a', slots: 8, leaving: false, models: [] }
       other.offer({ kind: 'server', key: 's', revision: 3, value: server }, 'store')
-      const receiver = new FactLink(other, local, 0, quietLog)
+      const receiver = new FactLink(other, local, 0, silentLog)
       receiver.handleFact({ type: 'fact', kind: 'server', key: 's', revision: 3.5, seenAt: 90, value: null })
       expect(other.servers.size).to.equal(1)
       other.offer({ kind: 'server', key: 's', revision: 4, value: server }, 'store')
@@ -123,18 +123,18 @@
     })
 
     it('sends nothing to a peer that has read the store since the removal was observed', async () => {
-      const link = new FactLink(facts, local, 1500, quietLog)
+      const link = new FactLink(facts, local, 1500, silentLog)
       link.start()
       link.updateComplete({ table: 50, server: 90, version: 50 })
       facts.offer(removal, 'store')
-      await time.pass(2000)
+      await time.advance(2000)
       expect(received).to.deep.equal([])
     })
   })
 
   it('sends pending facts immediately once the peer loses its other source', async () => {
     await time.settle()
-    const link = new FactLink(facts, local, 1500, quietLog)
+    const link = new FactLink(facts, local, 1500, silentLog)
     link.start()
     facts.offer(fact(3), 'store')
     await time.settle()
@@ -146,12 +146,12 @@
 
   it('sends only the newest revision of what the peer still lacks after the delay', async () => {
     await time.settle()
-    const link = new FactLink(facts, local, 1500, quietLog)
+    const link = new FactLink(facts, local, 1500, silentLog)
     link.start()
     facts.offer(fact(3), 'store')
-    await time.pass(200)
+    await time.advance(200)
     facts.offer(fact(4), 'store')
-    await time.pass(2000)
+    await time.advance(2000)
     expect(received).to.deep.equal([4])
   })
 })
--- a/packages/fleet/test/fact-watch.test.ts
+++ b/packages/fleet/test/fact-watch.test.ts
@@ -1,4 +1,4 @@
-import { quietLog } from '@finchpitch/core'
+import { silentLog } from '@finchpitch/core'
 import { Facts, StoreHealth, DutySwitch, watchFacts, watchPauseMs, removalRevisionStep, storeRevision, type BackendServer, type Fact, type FactPage, type FactSource, type StoreFailure } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
@@ -46,7 +46,7 @@
 
   beforeEach(() => {
     time = new FakeTime()
-    facts = new Facts(quietLog, () => 1000)
+    facts = new Facts(silentLog, () => 1000)
     source = new ScriptedSource()
     storeHealth = new StoreHealth()
     duty = new DutySwitch()
@@ -58,12 +58,12 @@
     time.restore()
   })
 
-  const start = (): void => { void watchFacts({ source, facts, log: quietLog, signal: stop.signal, outage: storeHealth, duty, pauseMs: () => 500 }) }
+  const start = (): void => { void watchFacts({ source, facts, log: silentLog, signal: stop.signal, outage: storeHealth, duty, pauseMs: () => 500 }) }
 
   it('lists once, then watches for changes with pauses in between', async () => {
     source.facts = [named('a', 1)]
     start()
-    await time.pass(1100)
+    await time.advance(1100)
     expect(source.calls).to.deep.equal(['list', 'changes 1', 'changes 1'])
     expect(facts.version('m/a')?.version).to.equal(1)
   })
@@ -71,53 +71,53 @@
   describe('that other processes watch', () => {
     it('makes no calls, and resumes from the revision that their updates reached', async () => {
       start()
-      await time.pass(100)
+      await time.advance(100)
       duty.setActive(false)
-      await time.pass(5000)
+      await time.advance(5000)
       const asked = source.calls.length
-      await time.pass(20_000)
+      await time.advance(20_000)
       expect(source.calls.length).to.equal(asked)
       facts.markAllComplete({ table: 0, server: 0, version: 40 })
       duty.setActive(true)
-      await time.pass(50)
+      await time.advance(50)
       expect(source.calls.at(-1)).to.equal('changes 40')
     })
 
     it('lists again if the history is gone when it resumes', async () => {
       start()
-      await time.pass(100)
+      await time.advance(100)
       duty.setActive(false)
-      await time.pass(5000)
+      await time.advance(5000)
       source.failure = { code: 'compacted', detail: '' }
       duty.setActive(true)
-      await time.pass(50)
+      await time.advance(50)
       source.failure = undefined
-      await time.pass(1000)
+      await time.advance(1000)
       expect(source.calls.filter(call => call === 'list').length).to.be.at.least(2)
     })
   })
 
   it('reports the store as failing until it answers again', async () => {
     start()
-    await time.pass(100)
+    await time.advance(100)
     expect(storeHealth.failing).to.equal(false)
     source.failure = { code: 'turned_away', detail: '' }
-    await time.pass(600)
+    await time.advance(600)
     expect(storeHealth.failing).to.equal(true)
     source.failure = undefined
-    await time.pass(1000)
+    await time.advance(1000)
     expect(storeHealth.failing).to.equal(false)
   })
 
   it('lists again when the history is gone, and drops facts that are no longer listed', async () => {
     source.facts = [named('a', 1), named('b', 1)]
     start()
-    await time.pass(100)
+    await time.advance(100)
     source.facts = [named('b', 1)]
     source.failure = { code: 'compacted', detail: '' }
-    await time.pass(520)
+    await time.advance(520)
     source.failure = undefined
-    await time.pass(1000)
+    await time.advance(1000)
     expect(source.calls.filter(call => call === 'list').length).to.be.at.least(2)
     expect(facts.version('m/a')).to.equal(undefined)
     expect(facts.version('m/b')?.version).to.equal(1)
@@ -125,37 +125,37 @@
 
   it('retries slowly during an outage, and recovers soon after it', async () => {
     start()
-    await time.pass(100)
+    await time.advance(100)
     source.failure = { code: 'turned_away', detail: '' }
-    await time.pass(20_000)
+    await time.advance(20_000)
     const asked = source.calls.length
     expect(asked).to.be.lessThan(60)
     source.failure = undefined
-    await time.pass(1000)
+    await time.advance(1000)
     expect(source.calls.length).to.be.greaterThan(asked)
   })
 
   it('repeats a hanging watch as soon as another task notices the outage', async () => {
     start()
-    await time.pass(100)
+    await time.advance(100)
     source.hang = true
-    await time.pass(3000)
+    await time.advance(3000)
     const asked = source.calls.length
     source.hang = false
     storeHealth.recheck()
-    await time.pass(50)
+    await time.advance(50)
     expect(source.calls.length).to.be.greaterThan(asked)
   })
 
   it('lists again when another task finds the history gone, although its own watch hangs', async () => {
     start()
-    await time.pass(100)
+    await time.advance(100)
     source.hang = true
-    await time.pass(1000)
+    await time.advance(1000)
     source.hang = false
     source.facts = [named('a', 2)]
     storeHealth.noteHistoryLoss()
-    await time.pass(50)
+    await time.advance(50)
     expect(facts.version('m/a')?.version).to.equal(2)
   })
 
@@ -168,58 +168,58 @@
       source = new ScriptedSource('server')
       source.facts = [entry('1', 1, server('1')), entry('2', 1, server('2'))]
       start()
-      await time.pass(100)
+      await time.advance(100)
       source.failure = { code: 'turned_away', detail: '' }
     })
 
     it('keeps servers whose entries expired until they can have written them again', async () => {
-      await time.pass(4000)
+      await time.advance(4000)
       source.failure = undefined
       source.events = [entry('1', 1 + removalRevisionStep, undefined), entry('2', 1 + removalRevisionStep, undefined)]
-      await time.pass(1500)
+      await time.advance(1500)
       expect(active()).to.deep.equal(['1', '2'])
       source.events = [entry('1', 8, server('1')), entry('2', 9, server('2'))]
-      await time.pass(4000)
+      await time.advance(4000)
       expect(active()).to.deep.equal(['1', '2'])
     })
 
     it('drops those still missing after that, without keeping them as fallbacks', async () => {
-      await time.pass(4000)
+      await time.advance(4000)
       source.failure = undefined
       source.events = [entry('1', 1 + removalRevisionStep, undefined)]
-      await time.pass(3200)
+      await time.advance(3200)
       expect(facts.serversOf('llm').map(each => each.id)).to.deep.equal(['2'])
     })
 
     it('reports itself complete only once deferred removals are applied', async () => {
-      await time.pass(4000)
+      await time.advance(4000)
       source.failure = undefined
       source.revision = 60
       source.events = [entry('1', 1 + removalRevisionStep, undefined)]
-      await time.pass(1000)
+      await time.advance(1000)
       expect(facts.complete.server).to.equal(1)
-      await time.pass(3000)
+      await time.advance(3000)
       expect(facts.complete.server).to.equal(60)
     })
 
     it('defers removals of servers missing from a list too, if the history is gone', async () => {
-      await time.pass(4000)
+      await time.advance(4000)
       source.failure = { code: 'compacted', detail: '' }
       // Longer than the longest backoff between two calls, so that one of them fails with `compacted`.
-      await time.pass(900)
+      await time.advance(900)
       source.failure = undefined
       source.facts = [entry('2', 1, server('2'))]
-      await time.pass(500)
+      await time.advance(500)
       expect(active()).to.deep.equal(['1', '2'])
-      await time.pass(3000)
+      await time.advance(3000)
       expect(facts.serversOf('llm').map(each => each.id)).to.deep.equal(['2'])
     })
 
     it('applies a removal immediately if only a watch\'s connection broke', async () => {
-      await time.pass(600)
+      await time.advance(600)
       source.failure = undefined
       source.events = [entry('1', 1 + removalRevisionStep, undefined)]
-      await time.pass(700)
+      await time.advance(700)
       expect(facts.isFallback('1')).to.equal(true)
     })
   })
@@ -233,16 +233,16 @@
     /** Restores the store with only these facts. */
     const restore = async (backup: Fact[]): Promise<void> => {
       source.failure = { code: 'restored', detail: '' }
-      await time.pass(520)
+      await time.advance(520)
       source.failure = undefined
       source.facts = backup
       source.revision = restored(5)
-      await time.pass(200)
+      await time.advance(200)
     }
 
     it('lists again and makes the other tasks list again', async () => {
       start()
-      await time.pass(100)
+      await time.advance(100)
       const before = storeHealth.historyLosses
       await restore([named('a', restored(1))])
       expect(source.calls.filter(call => call === 'list').length).to.be.at.least(2)
@@ -255,13 +255,13 @@
       source.facts = [entry('1', 8), entry('2', 9)]
       source.revision = 9
       start()
-      await time.pass(100)
+      await time.advance(100)
       await restore([])
-      await time.pass(1000)
+      await time.advance(1000)
       expect(listed()).to.deep.equal(['1', '2'])
       expect(facts.complete.server).to.equal(9)
       source.events = [entry('1', restored(6))]
-      await time.pass(3000)
+      await time.advance(3000)
       expect(listed()).to.deep.equal(['1'])
       expect(facts.complete.server).to.equal(restored(5))
     })
@@ -271,14 +271,14 @@
       source.facts = [entry('1', 8), entry('2', 9)]
       source.revision = 9
       start()
-      await time.pass(100)
+      await time.advance(100)
       source.events = [{ kind: 'server', key: '1', revision: 8 + removalRevisionStep, value: undefined, final: true }]
-      await time.pass(2000)
+      await time.advance(2000)
       await restore([entry('1', restored(1)), entry('2', restored(2))])
       expect(listed()).to.deep.equal(['2'])
       source.facts = [entry('2', restored(2))]
       storeHealth.noteHistoryLoss()
-      await time.pass(10_000)
+      await time.advance(10_000)
       facts.expire()
       expect(listed()).to.deep.equal(['2'])
     })
@@ -287,21 +287,21 @@
       source.facts = [named('a', 8)]
       source.revision = 9
       start()
-      await time.pass(100)
+      await time.advance(100)
       await restore([])
-      await time.pass(9000)
+      await time.advance(9000)
       expect(facts.version('m/a')?.version).to.equal(8)
-      await time.pass(2000)
+      await time.advance(2000)
       expect(facts.version('m/a')).to.equal(undefined)
     })
 
     it('rejects late answers from before the restore', async () => {
       source.facts = [named('a', 1)]
       start()
-      await time.pass(100)
+      await time.advance(100)
       facts.offer(named('b', restored(2)), 'peer')
       source.facts = []
-      await time.pass(5000)
+      await time.advance(5000)
       expect(facts.version('m/b')?.version).to.equal(restored(2))
       expect(source.calls.length).to.be.lessThan(120)
     })
--- a/packages/fleet/test/facts.test.ts
+++ b/packages/fleet/test/facts.test.ts
@@ -1,4 +1,4 @@
-import { quietLog } from '@finchpitch/core'
+import { silentLog } from '@finchpitch/core'
 import { Facts, removalRevisionStep, storeRevision, type BackendServer, type Fact, type NamedVersion, type RoutingTable } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
@@ -22,7 +22,7 @@
   let facts: Facts
   beforeEach(() => {
     time = new FakeTime()
-    facts = new Facts(quietLog, () => 1700)
+    facts = new Facts(silentLog, () => 1700)
   })
   afterEach(() => time.restore())
 
@@ -107,7 +107,7 @@
         expect(facts.complete.server).to.equal(0)
         facts.offer(serverFact('s', restored(80) + removalRevisionStep, undefined), 'store')
         facts.markComplete('server', restored(86))
-        await time.pass(20_000)
+        await time.advance(20_000)
         facts.expire()
         expect(open()).to.deep.equal([])
         expect(facts.complete.server).to.equal(restored(86))
@@ -119,10 +119,10 @@
       })
 
       it('sends it requests if the entry does not expire', async () => {
-        await time.pass(4900)
+        await time.advance(4900)
         facts.expire()
         expect(open()).to.deep.equal([])
-        await time.pass(200)
+        await time.advance(200)
         facts.expire()
         expect(open()).to.deep.equal(['s'])
       })
@@ -138,7 +138,7 @@
     it('proves neither a table newer than the backup\'s nor any table before lost writes can have been repeated', async () => {
       facts.offer(tableFact(94, 22), 'store')
       facts.offer(tableFact(restored(80), 18), 'store')
-      await time.pass(2100)
+      await time.advance(2100)
       facts.proveTable(performance.now(), restored(85))
       expect(facts.freshness.provenAt).to.equal(-Infinity)
       facts.offer(tableFact(restored(86), 22), 'store')
@@ -147,10 +147,10 @@
       facts.observeRevision(storeRevision(2, 40))
       facts.offer(tableFact(storeRevision(2, 30), 22), 'store')
       const before = facts.freshness.provenAt
-      await time.pass(1900)
+      await time.advance(1900)
       facts.proveTable(performance.now(), storeRevision(2, 40))
       expect(facts.freshness.provenAt).to.equal(before)
-      await time.pass(200)
+      await time.advance(200)
       facts.proveTable(performance.now(), storeRevision(2, 40))
       expect(facts.freshness.provenAt).to.equal(performance.now())
     })
@@ -163,7 +163,7 @@
     it('proves no table before lost writes can have been repeated', async () => {
       facts.proveTable(performance.now(), storeRevision(1, 85))
       expect(facts.freshness.provenAt).to.equal(-Infinity)
-      await time.pass(2100)
+      await time.advance(2100)
       facts.proveTable(performance.now(), storeRevision(1, 85))
       expect(facts.freshness.provenAt).to.equal(performance.now())
     })
@@ -186,7 +186,7 @@
       expect(facts.isFallback('s')).to.equal(true)
       expect(facts.serversOf('llm')).to.have.length(1)
       facts.offer(serverFact('s', 2, server('s')), 'store')
-      await time.pass(5000)
+      await time.advance(5000)
       facts.expire()
       expect(facts.isFallback('s')).to.equal(false)
       expect(facts.serversOf('llm')).to.have.length(1)
@@ -195,10 +195,10 @@
     it('drops the server if its entry does not come back in time', async () => {
       facts.offer(serverFact('s', 1, server('s')), 'store')
       facts.offer(serverFact('s', 1 + removalRevisionStep, undefined), 'store')
-      await time.pass(1600)
+      await time.advance(1600)
       facts.expire()
       expect(facts.serversOf('llm')).to.have.length(1)
-      await time.pass(200)
+      await time.advance(200)
       facts.expire()
       expect(facts.serversOf('llm')).to.have.length(0)
     })
@@ -251,7 +251,7 @@
       facts.offer(serverFact('s', 6, born(10)), 'store')
       expect(open()).to.deep.equal(['other'])
       facts.offer(serverFact('s', 6 + removalRevisionStep, undefined), 'store')
-      await time.pass(5000)
+      await time.advance(5000)
       facts.expire()
       facts.offer(serverFact('s', 9, born(10)), 'store')
       expect(open()).to.deep.equal(['other'])
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -1,7 +1,7 @@
 import { request, Agent } from 'node:http'
 import { connect } from 'node:net'
 import { pause } from '@finchpitch/core'
-import { BackendStandIn, FleetSystem, askFleet, eventually, type Ask, type Reply } from '@finchpitch/stand-ins'
+import { BackendStandIn, FleetSystem, sendToFleet, eventually, type FleetRequest, type FleetResponse } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 const settleMs = 2500
@@ -11,14 +11,14 @@
   this.timeout(60_000)
   let fleet: FleetSystem
 
-  const ask = (asked: Ask): Promise<Reply> => askFleet(fleet, asked)
+  const ask = (asked: FleetRequest): Promise<FleetResponse> => sendToFleet(fleet, asked)
   const nextId = (): string => `request-${sent++}`
-  const allServers = (): BackendStandIn[] => [...fleet.engines, ...fleet.plain]
-  const runsOf = (id: string): number => allServers().reduce((sum, server) => sum + server.ran.filter(each => each === id).length, 0)
+  const allServers = (): BackendStandIn[] => [...fleet.engines, ...fleet.plainServers]
+  const runsOf = (id: string): number => allServers().reduce((sum, server) => sum + server.startedIds.filter(each => each === id).length, 0)
   const setFault = (servers: BackendStandIn[], fault: BackendStandIn['fault']): void => { for (const server of servers) server.fault = fault }
 
   before(async () => {
-    fleet = new FleetSystem({ network: 31, domains: 2, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
+    fleet = new FleetSystem({ network: 31, domains: 2, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
     await fleet.start()
     await pause(settleMs)
   })
@@ -26,9 +26,9 @@
   after(async () => { await fleet.stop() })
 
   afterEach(async function () {
-    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.keepLines(this.currentTest.title)}`)
+    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.saveLogLines(this.currentTest.title)}`)
     setFault(allServers(), 'none')
-    for (const server of allServers()) server.lateOrdersMs = 0
+    for (const server of allServers()) server.orderDelayMs = 0
     await pause(700)
   })
 
@@ -69,7 +69,7 @@
   describe('a request that is not repeatable', () => {
     for (const fault of ['reset', 'torn', 'unsealed', 'foreign'] as const) {
       it(`is reported as possibly run, and runs once, if the response is ${fault}`, async () => {
-        setFault(fleet.plain, fault)
+        setFault(fleet.plainServers, fault)
         const id = nextId()
         expect(await ask({ path: '/once/x', id })).to.include({ status: 502, whole: true })
         expect(runsOf(id)).to.equal(1)
@@ -77,7 +77,7 @@
     }
 
     it('is reported as possibly run promptly at its deadline, and no earlier', async () => {
-      setFault(fleet.plain, 'mute')
+      setFault(fleet.plainServers, 'mute')
       const id = nextId()
       const started = Date.now()
       expect(await ask({ path: '/once/x', id, remainingMs: 600 })).to.include({ status: 504 })
@@ -86,13 +86,13 @@
     })
 
     it('goes to another server if the first states that it did not run', async () => {
-      setFault(fleet.plain.slice(0, 1), 'shedding')
+      setFault(fleet.plainServers.slice(0, 1), 'shedding')
       const replies = await Promise.all(Array.from({ length: 6 }, async () => await ask({ path: '/once/x', id: nextId() })))
       expect(replies.map(reply => reply.status)).to.deep.equal([200, 200, 200, 200, 200, 200])
     })
 
     it('is refused as not run, with Retry-After, if all servers refuse', async () => {
-      setFault(fleet.plain, 'shedding')
+      setFault(fleet.plainServers, 'shedding')
       const id = nextId()
       const started = Date.now()
       const reply = await ask({ path: '/once/x', id })
@@ -105,29 +105,29 @@
 
   describe('a repeatable request', () => {
     it('is retried at another server after a failure', async () => {
-      setFault(fleet.plain.slice(0, 1), 'failing')
+      setFault(fleet.plainServers.slice(0, 1), 'failing')
       const replies = await Promise.all(Array.from({ length: 8 }, async () => await ask({ path: '/again/x', id: nextId() })))
       expect(replies.every(reply => reply.status === 200)).to.equal(true)
     })
 
     it('is not reported as not run if it failed and its service was removed from the table meanwhile', async () => {
-      setFault(fleet.plain, 'failing')
-      for (const server of fleet.plain) server.options.workMs = 800
+      setFault(fleet.plainServers, 'failing')
+      for (const server of fleet.plainServers) server.options.workMs = 800
       const table = fleet.table(1) as { routes: Array<Record<string, unknown>> }
       const routes = table.routes.map(route => route.name === 'r-again' ? { ...route, service: 'nowhere' } : route)
       const reply = ask({ path: '/again/x', id: nextId() })
       await pause(50)
       fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, { routes }))
       const { status } = await reply
-      for (const server of fleet.plain) server.options.workMs = 5
+      for (const server of fleet.plainServers) server.options.workMs = 5
       fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10))
       await pause(settleMs)
       expect(status).to.equal(502)
     })
 
     it('is not reported as not run if it failed at one server and the other refuses', async () => {
-      setFault(fleet.plain.slice(0, 1), 'failing')
-      setFault(fleet.plain.slice(1), 'shedding')
+      setFault(fleet.plainServers.slice(0, 1), 'failing')
+      setFault(fleet.plainServers.slice(1), 'shedding')
       const ids = Array.from({ length: 8 }, nextId)
       const replies = await Promise.all(ids.map(async id => await ask({ path: '/again/x', id })))
       const ran = replies.filter((_reply, each) => runsOf(ids[each] ?? '') > 0)
@@ -136,7 +136,7 @@
     })
 
     it('gets the error response unchanged if every server fails', async () => {
-      setFault(fleet.plain, 'failing')
+      setFault(fleet.plainServers, 'failing')
       const reply = await ask({ path: '/again/x', id: nextId() })
       expect(reply.status).to.equal(500)
       expect(reply.headers['response-seal']).to.match(/^seal-plain/)
@@ -161,11 +161,11 @@
   })
 
   it('cancels the request at the server when the caller disconnects', async () => {
-    setFault(fleet.plain, 'mute')
+    setFault(fleet.plainServers, 'mute')
     const id = nextId()
-    const abandoned = await ask({ path: '/again/x', id, leaveAfterMs: 100 }).catch(() => undefined)
+    const abandoned = await ask({ path: '/again/x', id, disconnectAfterMs: 100 }).catch(() => undefined)
     expect(abandoned).to.equal(undefined)
-    await eventually('the server notices that the caller disconnected', () => fleet.plain.some(server => server.left.includes(id)), 1000)
+    await eventually('the server notices that the caller disconnected', () => fleet.plainServers.some(server => server.disconnectedIds.includes(id)), 1000)
   })
 
   describe('adapter orders', () => {
@@ -184,18 +184,18 @@
 
     it('never exceed the adapter slots of an engine, whatever is requested', async () => {
       const replies = await Promise.all(Array.from({ length: 20 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/b${each}`, entry: each % 2 })))
-      expect(fleet.engines.some(engine => engine.fell)).to.equal(false)
+      expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
       expect(replies.filter(reply => reply.status === 200)).to.have.length.at.least(10)
       expect(replies.every(reply => reply.status === 200 || reply.status === 503)).to.equal(true)
     })
 
     it('stay consistent if responses are lost and orders are executed late', async () => {
-      for (const engine of fleet.engines) engine.lateOrdersMs = 900
+      for (const engine of fleet.engines) engine.orderDelayMs = 900
       await Promise.all(Array.from({ length: 12 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/c${each}`, entry: each % 2 })))
-      for (const engine of fleet.engines) engine.lateOrdersMs = 0
+      for (const engine of fleet.engines) engine.orderDelayMs = 0
       await Promise.all(Array.from({ length: 12 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/d${each}`, entry: each % 2 })))
       await pause(1000)
-      expect(fleet.engines.some(engine => engine.fell)).to.equal(false)
+      expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
     })
 
     it('continue while every second response is lost', async () => {
@@ -207,7 +207,7 @@
       expect(Date.now() - started).to.be.lessThan(3000)
       for (const engine of fleet.engines) Object.assign(engine, { lateOrdersMs: 0, lateEvery: 1 })
       await pause(6500)
-      expect(fleet.engines.some(engine => engine.fell)).to.equal(false)
+      expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
     })
 
     it('load a newly published version, and requests use it', async () => {
@@ -265,7 +265,7 @@
       await pause(settleMs)
       const replies = await Promise.all(Array.from({ length: 6 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/f${each}` })))
       expect(replies.some(reply => reply.status === 200)).to.equal(true)
-      expect(fleet.engines.some(engine => engine.fell)).to.equal(false)
+      expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
       expect(fences().at(-1)).to.be.at.least(before)
     })
   })
@@ -345,7 +345,7 @@
     const [entry] = fleet.entries
     if (entry === undefined) throw new Error('there is an entry')
     await fleet.kill(entry)
-    fleet.store.listMs = 200
+    fleet.store.listDelayMs = 200
     await fleet.startProcess(entry)
     const statuses: number[] = []
     const until = Date.now() + 10_000
@@ -354,14 +354,14 @@
       statuses.push(await asked)
       await pause(2)
     }
-    fleet.store.listMs = 0
+    fleet.store.listDelayMs = 0
     expect(statuses.filter(status => status !== 0)).to.deep.equal([200])
     await pause(settleMs)
   })
 
   it('closes caller connections after another entry has joined', async () => {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
-    const ask0 = async (): Promise<Reply> => await ask({ path: '/again/x', id: nextId(), agent })
+    const ask0 = async (): Promise<FleetResponse> => await ask({ path: '/again/x', id: nextId(), agent })
     const [, other] = fleet.entries
     if (other === undefined) throw new Error('there are two entries')
     await fleet.kill(other)
@@ -379,7 +379,7 @@
   })
 
   it('logs everything about a request under its id', async () => {
-    setFault(fleet.plain, 'shedding')
+    setFault(fleet.plainServers, 'shedding')
     const id = nextId()
     await ask({ path: '/once/x', id })
     const [entry] = fleet.entries
@@ -396,7 +396,7 @@
 
   before(async () => {
     fleet = new FleetSystem({
-      network: 32, domains: 1, entriesPerDomain: 1, enginesPerDomain: 0, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5, bounds: { retrySlack: 0, retryBudgetRatio: 0 }
+      network: 32, domains: 1, entriesPerDomain: 1, enginesPerDomain: 0, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5, bounds: { retrySlack: 0, retryBudgetRatio: 0 }
     })
     await fleet.start()
     await pause(settleMs)
@@ -405,7 +405,7 @@
   after(async () => { await fleet.stop() })
 
   it('still gets past unreachable servers, since nothing was sent there', async () => {
-    const [server] = fleet.plain
+    const [server] = fleet.plainServers
     if (server === undefined) throw new Error('there is a plain server')
     for (let each = 0; each < 12; each++) fleet.register(new BackendStandIn({ ...server.options, id: `dark-${each}` }), `127.32.0.${220 + each}`, 'd0')
     await pause(settleMs)
@@ -422,7 +422,7 @@
   let fleet: FleetSystem
 
   before(async () => {
-    fleet = new FleetSystem({ network: 33, domains: 1, entriesPerDomain: 1, enginesPerDomain: 0, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
+    fleet = new FleetSystem({ network: 33, domains: 1, entriesPerDomain: 1, enginesPerDomain: 0, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
     fleet.store.fault = 'reset'
     await fleet.start()
     await pause(settleMs)
--- a/packages/fleet/test/freshness.test.ts
+++ b/packages/fleet/test/freshness.test.ts
@@ -1,6 +1,6 @@
-import { pause, quietLog, type Log } from '@finchpitch/core'
+import { pause, silentLog, type Log } from '@finchpitch/core'
 import { Facts, Freshness, KeyLease, LeaseKeeper, TableProver, hashKey, type FactPage, type FactSource, type RoutingTable, type StoreFailure } from '@finchpitch/fleet'
-import { FakeTime, FleetSystem, askFleet, eventually, type Reply } from '@finchpitch/stand-ins'
+import { FakeTime, FleetSystem, sendToFleet, eventually, type FleetResponse } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { err, ok, type Result } from 'neverthrow'
@@ -141,7 +141,7 @@
 
   beforeEach(() => {
     time = new FakeTime()
-    facts = new Facts(quietLog, () => 1000)
+    facts = new Facts(silentLog, () => 1000)
   })
 
   afterEach(() => time.restore())
@@ -149,7 +149,7 @@
   it('is not needed if the table has no teams or no revocation bound is set', () => {
     offer({})
     expect(new KeyLease(facts, () => ({ revokeMs: 5000 }))).to.include({ held: true, proofDue: false, watchDue: false })
-    facts = new Facts(quietLog, () => 1000)
+    facts = new Facts(silentLog, () => 1000)
     offer({ teams: [{ name: 'red', keys: [hashKey('k')] }] })
     expect(new KeyLease(facts, () => ({}))).to.include({ held: true, watchDue: false })
   })
@@ -159,13 +159,13 @@
     const lease = new KeyLease(facts, () => ({ revokeMs: 5000 }))
     expect(lease).to.include({ held: false, proofDue: true, watchDue: true })
     facts.freshness.prove(performance.now())
-    await time.pass(1400)
+    await time.advance(1400)
     expect(lease).to.include({ held: true, proofDue: false })
-    await time.pass(200)
+    await time.advance(200)
     expect(lease).to.include({ held: true, proofDue: true, remoteProofDue: false })
-    await time.pass(1000)
+    await time.advance(1000)
     expect(lease).to.include({ held: true, remoteProofDue: true, watchDue: true })
-    await time.pass(1500)
+    await time.advance(1500)
     expect(lease.held).to.equal(false)
   })
 })
@@ -181,14 +181,14 @@
 
   const pass = async (ms: number): Promise<void> => {
     for (let each = 0; each < ms; each += 100) {
-      await time.pass(100)
+      await time.advance(100)
       keeper.check()
     }
   }
 
   beforeEach(() => {
     time = new FakeTime()
-    facts = new Facts(quietLog, () => 1000)
+    facts = new Facts(silentLog, () => 1000)
     const table = { version: 1, routes: [], services: [], teams: [{ name: 'red', keys: [hashKey('k')] }], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } }
     facts.offer({ kind: 'table', key: 'table', revision: 1, value: table }, 'store')
     facts.freshness.prove(performance.now())
@@ -198,8 +198,8 @@
     logged = []
     const lease = new KeyLease(facts, () => ({ revokeMs: 5000 }))
     const log = { info: (event: string, fields: { held?: boolean }) => { if (event === 'keys.lease_changed') logged.push(fields.held) } } as unknown as Log
-    const watch = { prove: async () => { proved += 1 }, get watching () { return watching } }
-    const links = { askFresh: (remote: boolean) => { asked.push(remote) }, get outage () { return false } }
+    const watch = { ensureProof: async () => { proved += 1 }, get watching () { return watching } }
+    const links = { requestProof: (remote: boolean) => { asked.push(remote) }, get outage () { return false } }
     keeper = new LeaseKeeper({ lease, facts, links, watch, log })
   })
 
@@ -239,15 +239,15 @@
   let fleet: FleetSystem
   let sent = 0
   const revokeMs = 2000
-  const ask = (key: string, entry = 0, id = `revoked-${sent++}`): Promise<Reply> =>
-    askFleet(fleet, { path: '/once/x', id, entry, remainingMs: 900, headers: { authorization: `Token ${key}` } })
+  const ask = (key: string, entry = 0, id = `revoked-${sent++}`): Promise<FleetResponse> =>
+    sendToFleet(fleet, { path: '/once/x', id, entry, remainingMs: 900, headers: { authorization: `Token ${key}` } })
   const publish = (...keys: string[]): void => { fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, { tenants: [{ name: 'red', apiKeys: keys }] })) }
   const served = async (key: string, entry: number): Promise<boolean> => (await ask(key, entry)).status === 200
-  const ran = (id: string): boolean => fleet.plain.some(server => server.ran.includes(id))
+  const ran = (id: string): boolean => fleet.plainServers.some(server => server.startedIds.includes(id))
 
   before(async () => {
     fleet = new FleetSystem({
-      network: 46, domains: 2, entriesPerDomain: 2, enginesPerDomain: 1, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5, bounds: { strictRevoke: true, revokeMs } as never
+      network: 46, domains: 2, entriesPerDomain: 2, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5, bounds: { strictRevoke: true, revokeMs } as never
     })
     await fleet.start()
   })
@@ -320,7 +320,7 @@
 
   beforeEach(() => {
     time = new FakeTime()
-    facts = new Facts(quietLog, () => 1000)
+    facts = new Facts(silentLog, () => 1000)
     calls = 0
     answerMs = 4
     answer = ok({ facts: [], revision: 9 })
@@ -341,27 +341,27 @@
 
   it('dates proofs from the start of the call, and shares one call among concurrent requests', async () => {
     answerMs = 400
-    const asked = [prover.prove(), prover.prove(), prover.prove()]
-    await time.pass(500)
+    const asked = [prover.ensureProof(), prover.ensureProof(), prover.ensureProof()]
+    await time.advance(500)
     await Promise.all(asked)
     expect(calls).to.equal(1)
     expect(facts.freshness.ageMs).to.equal(500)
-    await prover.prove()
+    await prover.ensureProof()
     expect(calls).to.equal(1)
   })
 
   it('calls the store again once the last proof is no longer recent', async () => {
-    await time.until(prover.prove())
-    await time.pass(800)
-    await time.until(prover.prove())
+    await time.runUntilSettled(prover.ensureProof())
+    await time.advance(800)
+    await time.runUntilSettled(prover.ensureProof())
     expect(calls).to.equal(2)
   })
 
   it('gives no proof if the store refuses the call or the newest table can\'t be parsed', async () => {
     answer = err({ code: 'turned_away', detail: '' })
-    await time.until(prover.prove())
+    await time.runUntilSettled(prover.ensureProof())
     answer = ok({ facts: [], revision: 10, unread: 1 })
-    await time.until(prover.prove())
+    await time.runUntilSettled(prover.ensureProof())
     expect(facts.freshness.provenAt).to.equal(-Infinity)
   })
 })
--- a/packages/fleet/test/load-rate-limiter.test.ts
+++ b/packages/fleet/test/load-rate-limiter.test.ts
@@ -22,10 +22,10 @@
     for (let each = 0; each < loadsPerWindow(ownShare); each++) {
       expect(rate.allows(ownShare)).to.equal(true)
       rate.recordLoad()
-      await time.pass(1000)
+      await time.advance(1000)
     }
     expect(rate.allows(ownShare)).to.equal(false)
-    await time.pass(1001)
+    await time.advance(1001)
     expect(rate.allows(ownShare)).to.equal(true)
   })
 })
--- a/packages/fleet/test/load-time-estimator.test.ts
+++ b/packages/fleet/test/load-time-estimator.test.ts
@@ -15,7 +15,7 @@
 
   const load = async (key: string, ms: number, from: LoadSource): Promise<void> => {
     loads.startLoad(key, { at: nowMs(), version: 1, from })
-    await time.pass(ms)
+    await time.advance(ms)
     loads.held(key, 1)
   }
 
@@ -24,9 +24,9 @@
     loads.startLoad('m/b', { at: nowMs(), version: 1, from: 'cold' })
     expect(loads.nextPollInMs(1000)).to.be.within(178, 182)
     expect(loads.nextPollInMs(60)).to.equal(60)
-    await time.pass(190)
+    await time.advance(190)
     expect(loads.nextPollInMs(60)).to.equal(12)
-    await time.pass(600)
+    await time.advance(600)
     expect(loads.nextPollInMs(60)).to.equal(60)
     loads.forget('m/b')
     expect(loads.nextPollInMs(60)).to.equal(60)
--- a/packages/fleet/test/placement.test.ts
+++ b/packages/fleet/test/placement.test.ts
@@ -16,22 +16,22 @@
 const demand = (key: string): Demand => ({ key, waiting: 1, priority: 1, waitedMs: 1000 })
 
 const inputWith = (more: Partial<PlacementInput>): PlacementInput => ({
-  spec, account: stateWith({}), demands: [], newestVersion: () => undefined, popularity: () => 0, uses: () => 0, canLoad: () => true, ...more
+  spec, status: stateWith({}), demands: [], newestVersion: () => undefined, popularity: () => 0, uses: () => 0, canLoad: () => true, ...more
 })
 
 describe('placement', () => {
   describe('of models', () => {
     it('loads the first model of the service on an empty engine', () => {
-      const placement = decidePlacement(inputWith({ account: stateWith({}, { models: [], orders: 0 }) }))
+      const placement = decidePlacement(inputWith({ status: stateWith({}, { models: [], orders: 0 }) }))
       expect(placement).to.deep.include({ type: 'order', order: { operation: 'load', model: 'm', version: undefined, expectedOrders: 0 } })
     })
 
     it('waits while a model is being loaded', () => {
-      expect(decidePlacement(inputWith({ account: stateWith({}, { models: [], busy: true }) })).type).to.equal('nothing')
+      expect(decidePlacement(inputWith({ status: stateWith({}, { models: [], busy: true }) })).type).to.equal('nothing')
     })
 
     it('respects the rate limit of the weight store', () => {
-      expect(decidePlacement(inputWith({ account: stateWith({}, { models: [] }), canLoad: () => false })).type).to.equal('nothing')
+      expect(decidePlacement(inputWith({ status: stateWith({}, { models: [] }), canLoad: () => false })).type).to.equal('nothing')
     })
   })
 
@@ -43,7 +43,7 @@
 
     it('counts loads in progress as used slots', () => {
       const coming = [{ key: 'm/x', version: 1 }, { key: 'm/y', version: 1 }]
-      const placement = decidePlacement(inputWith({ account: stateWith({ z: 1 }, { coming }), demands: [demand('m/a')] }))
+      const placement = decidePlacement(inputWith({ status: stateWith({ z: 1 }, { coming }), demands: [demand('m/a')] }))
       expect(placement).to.deep.include({ type: 'order', reason: 'makes room for m/a' })
       expect(placement).to.have.nested.property('order.operation', 'unload')
       expect(placement).to.have.nested.property('order.adapter', 'z')
@@ -51,7 +51,7 @@
 
     it('evicts the least popular adapter that is not in use', () => {
       const placement = decidePlacement(inputWith({
-        account: stateWith({ x: 1, y: 1, z: 1 }),
+        status: stateWith({ x: 1, y: 1, z: 1 }),
         demands: [demand('m/a')],
         popularity: key => ({ 'm/x': 5, 'm/y': 1, 'm/z': 0 })[key] ?? 0,
         uses: key => key === 'm/z' ? 1 : 0
@@ -60,7 +60,7 @@
     })
 
     it('declines while every slot is in use', () => {
-      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1, y: 1, z: 1 }), demands: [demand('m/a')], uses: () => 1 }))
+      const placement = decidePlacement(inputWith({ status: stateWith({ x: 1, y: 1, z: 1 }), demands: [demand('m/a')], uses: () => 1 }))
       expect(placement).to.deep.equal({ type: 'declined', key: 'm/a', reason: 'no_place' })
     })
 
@@ -72,7 +72,7 @@
 
     it('respects the memory limit in addition to the slots', () => {
       const tight = { ...spec, weightMemoryMb: 1020 }
-      const placement = decidePlacement(inputWith({ spec: tight, account: stateWith({ x: 1 }), demands: [demand('m/a')] }))
+      const placement = decidePlacement(inputWith({ spec: tight, status: stateWith({ x: 1 }), demands: [demand('m/a')] }))
       expect(placement).to.have.nested.property('order.operation', 'unload')
     })
 
@@ -86,23 +86,23 @@
     const newest = (key: string): number | undefined => key === 'm/x' ? 2 : undefined
 
     it('replaces an adapter in use while a slot is free', () => {
-      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1 }), newestVersion: newest, uses: () => 1 }))
+      const placement = decidePlacement(inputWith({ status: stateWith({ x: 1 }), newestVersion: newest, uses: () => 1 }))
       expect(placement).to.deep.include({ order: { operation: 'load', model: 'm', adapter: 'x', version: 2, expectedOrders: 7 } })
     })
 
     it('unloads an outdated adapter that is not requested', () => {
-      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1 }), newestVersion: newest }))
+      const placement = decidePlacement(inputWith({ status: stateWith({ x: 1 }), newestVersion: newest }))
       expect(placement).to.have.nested.property('order.operation', 'unload')
     })
 
     it('evicts another adapter rather than one in use when all slots are taken', () => {
-      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1, y: 1, z: 1 }), newestVersion: newest, uses: key => key === 'm/x' ? 1 : 0, popularity: () => 9 }))
+      const placement = decidePlacement(inputWith({ status: stateWith({ x: 1, y: 1, z: 1 }), newestVersion: newest, uses: key => key === 'm/x' ? 1 : 0, popularity: () => 9 }))
       expect(placement).to.have.nested.property('order.operation', 'unload')
       expect(placement).to.not.have.nested.property('order.adapter', 'x')
     })
 
     it('does nothing while the newer version is being loaded', () => {
-      const placement = decidePlacement(inputWith({ account: stateWith({ x: 1 }, { coming: [{ key: 'm/x', version: 2 }] }), newestVersion: newest, uses: () => 1 }))
+      const placement = decidePlacement(inputWith({ status: stateWith({ x: 1 }, { coming: [{ key: 'm/x', version: 2 }] }), newestVersion: newest, uses: () => 1 }))
       expect(placement.type).to.equal('nothing')
     })
   })
--- a/packages/fleet/test/poll-delay.test.ts
+++ b/packages/fleet/test/poll-delay.test.ts
@@ -3,7 +3,7 @@
 
 /** Poll input with the next load due in `due` ms. */
 const inputWith = (more: Partial<PollState> = {}, due = Infinity): PollState => ({
-  account: { busy: false, coming: [] },
+  status: { busy: false, coming: [] },
   demandedKeys: [],
   dueInMs: maxMs => Math.min(maxMs, due),
   ...more
@@ -18,17 +18,17 @@
   describe('with an adapter being loaded', () => {
     it('ends when the load is due, and is not shortened by the demand that it meets', () => {
       const status = { busy: false, coming }
-      expect(nextPollDelayMs(inputWith({ account: status, demandedKeys: ['m/a'] }, 130))).to.equal(130)
-      expect(nextPollDelayMs(inputWith({ account: status, demandedKeys: ['m/a'] }, 900))).to.equal(200)
+      expect(nextPollDelayMs(inputWith({ status, demandedKeys: ['m/a'] }, 130))).to.equal(130)
+      expect(nextPollDelayMs(inputWith({ status, demandedKeys: ['m/a'] }, 900))).to.equal(200)
     })
 
     it('is short for another demand, which waits for a slot', () => {
-      expect(nextPollDelayMs(inputWith({ account: { busy: false, coming }, demandedKeys: ['m/a', 'm/b'] }, 130))).to.equal(60)
-      expect(nextPollDelayMs(inputWith({ account: { busy: false, coming }, demandedKeys: ['m/b'] }, 20))).to.equal(20)
+      expect(nextPollDelayMs(inputWith({ status: { busy: false, coming }, demandedKeys: ['m/a', 'm/b'] }, 130))).to.equal(60)
+      expect(nextPollDelayMs(inputWith({ status: { busy: false, coming }, demandedKeys: ['m/b'] }, 20))).to.equal(20)
     })
   })
 
   it('is short while the engine is busy with an order that is not shown as a load', () => {
-    expect(nextPollDelayMs(inputWith({ account: { busy: true, coming: [] } }))).to.equal(60)
+    expect(nextPollDelayMs(inputWith({ status: { busy: true, coming: [] } }))).to.equal(60)
   })
 })
