--- a/packages/fleet/test/quotas.test.ts
+++ b/packages/fleet/test/quotas.test.ts
@@ -1,8 +1,8 @@
-import { pause, quietLog } from '@finchpitch/core'
+import { pause, silentLog } from '@finchpitch/core'
 import { tokenLifetimeMs, type TokenSlice } from '@finchpitch/decisions'
-import { EntryCeiling, QuotaBank, QuotaExchange, Quotas, TeamAccount, costOf, noLimits, nowMs, type Limits, type Quota } from '@finchpitch/fleet'
-import { FakeTime, FleetSystem, askFleet, eventually } from '@finchpitch/stand-ins'
-import type { Channel, FrameOf, TokenAge } from '@finchpitch/wire'
+import { EntryCountBound, QuotaBank, QuotaExchange, Quotas, TeamAccount, costOf, noLimits, nowMs, type Limits, type Quota } from '@finchpitch/fleet'
+import { FakeTime, FleetSystem, sendToFleet, eventually } from '@finchpitch/stand-ins'
+import type { Channel, FrameOf, AgedTokens } from '@finchpitch/wire'
 import { expect } from 'chai'
 import fc from 'fast-check'
 
@@ -33,16 +33,16 @@
     const until = nowMs() + ms
     for (let next = this.#inTransit[0]; next !== undefined && next.at <= until; next = this.#inTransit[0]) {
       this.#inTransit.shift()
-      this.time.jump(Math.max(0, next.at - nowMs()))
+      this.time.advanceSync(Math.max(0, next.at - nowMs()))
       next.run()
     }
-    this.time.jump(Math.max(0, until - nowMs()))
+    this.time.advanceSync(Math.max(0, until - nowMs()))
   }
 
   /** Returns whether the entry had the tokens. */
   spend (entry: number, tokens: number): boolean {
     const account = this.at(entry)
-    account.demand(tokens)
+    account.recordDemand(tokens)
     if (account.take(tokens) === undefined) return false
     this.spent.push({ tokens, at: nowMs() })
     return true
@@ -55,7 +55,7 @@
     const id = `${entry} ${bank}`
     const echo = this.#echoes.get(id)
     const wanted = account.wants()
-    const gives = wanted > 0 || echo === undefined ? [] : account.takeSurplus().map((slice: TokenSlice): TokenAge => [team, slice.tokens, stamp - slice.earnedAt])
+    const gives = wanted > 0 || echo === undefined ? [] : account.takeSurplus().map((slice: TokenSlice): AgedTokens => [team, slice.tokens, stamp - slice.earnedAt])
     const frame: FrameOf<'quota'> = { type: 'quota', stamp, ...(echo === undefined ? {} : { echo: { stamp: echo.stamp, heldMs: stamp - echo.receivedAt } }), gives, wants: wanted > 0 ? [[team, wanted]] : [] }
     this.#after(requestMs, () => {
       const lifetime = tokenLifetimeMs(quota, { windowMs: limits.quotaWindowMs, overage: limits.quotaOverage, slack: limits.quotaSlack })
@@ -182,12 +182,12 @@
       const quotas = new Quotas({
         limits: () => limits,
         entries: () => 10,
-        bring: async (_team, tokens) => {
+        requestTokens: async (_team, tokens) => {
           requested.push(tokens)
           return false
         }
       })
-      quotas.follow([red])
+      quotas.setTeams([red])
       return quotas
     }
 
@@ -199,7 +199,7 @@
 
     it('are requested from other entries once they are used up here, and return a retry time', async () => {
       const quotas = createQuotas()
-      time.jump(1000)
+      time.advanceSync(1000)
       expect(await quotas.reserve(red, '2900,0')).to.have.property('slices')
       expect(await quotas.reserve(red, '2900,0')).to.be.within(100, 1000)
       expect(requested).to.deep.equal([2900])
@@ -207,7 +207,7 @@
 
     it('are returned if the request is not sent', async () => {
       const quotas = createQuotas()
-      time.jump(1000)
+      time.advanceSync(1000)
       const reserved = await quotas.reserve(red, '2900,0')
       if (typeof reserved === 'number') throw new Error('it was refused')
       quotas.release(reserved)
@@ -216,18 +216,18 @@
 
     it('are reserved again if they expired while the request waited', async () => {
       const quotas = createQuotas()
-      time.jump(1000)
+      time.advanceSync(1000)
       const reserved = await quotas.reserve(red, '2900,0')
       if (typeof reserved === 'number') throw new Error('it was refused')
-      time.jump(9000)
-      expect(quotas.lasts(reserved, red)).to.equal(false)
+      time.advanceSync(9000)
+      expect(quotas.isValid(reserved, red)).to.equal(false)
       expect(quotas.spend(reserved)).to.equal(true)
     })
   })
 
   describe('at the bank', () => {
     let bank: QuotaBank
-    const exchange = (entry: string, gives: TokenAge[], wants: Array<[string, number]>): FrameOf<'quota_grant'> =>
+    const exchange = (entry: string, gives: AgedTokens[], wants: Array<[string, number]>): FrameOf<'quota_grant'> =>
       bank.exchange(entry, { type: 'quota', stamp: 5, echo: { stamp: nowMs(), heldMs: 0 }, gives, wants }, () => 2000)
     const sumOf = ({ grants }: FrameOf<'quota_grant'>): number => grants.reduce((sum, [, tokens]) => sum + tokens, 0)
 
@@ -248,7 +248,7 @@
 
     it('expire, and count as expired if their transit time is unknown', () => {
       exchange('giver', [[team, 4000, 1500]], [])
-      time.jump(600)
+      time.advanceSync(600)
       expect(sumOf(exchange('a', [], [[team, 100]]))).to.equal(0)
       bank.exchange('giver', { type: 'quota', stamp: 5, gives: [[team, 4000, 0]], wants: [] }, () => 2000)
       expect(sumOf(exchange('a', [], [[team, 100]]))).to.equal(0)
@@ -264,17 +264,17 @@
 
     beforeEach(() => {
       sent = []
-      quotas = new Quotas({ limits: () => limits, entries: () => 26, bring: (name, tokens) => exchange.bring(name, tokens) })
-      exchange = new QuotaExchange({ quotas, serverLimits: noLimits, hosts: () => ['10.0.0.1'], channelTo: () => channel, log: quietLog })
-      quotas.follow([red])
-      time.jump(1000)
+      quotas = new Quotas({ limits: () => limits, entries: () => 26, requestTokens: (name, tokens) => exchange.requestTokens(name, tokens) })
+      exchange = new QuotaExchange({ quotas, serverLimits: noLimits, hosts: () => ['10.0.0.1'], channelTo: () => channel, log: silentLog })
+      quotas.setTeams([red])
+      time.advanceSync(1000)
     })
 
     /** The bank grants this share of the tokens that the last frame requested. */
     const answer = async (share = 1): Promise<void> => {
       const frame = sent.at(-1)
-      const grants = (frame?.wants ?? []).map(([name, tokens]): TokenAge => [name, tokens * share, 0])
-      exchange.take('10.0.0.1', channel, { type: 'quota_grant', stamp: frame?.stamp ?? 0, bankStamp: nowMs(), grants, needed: [] })
+      const grants = (frame?.wants ?? []).map(([name, tokens]): AgedTokens => [name, tokens * share, 0])
+      exchange.handleGrant('10.0.0.1', channel, { type: 'quota_grant', stamp: frame?.stamp ?? 0, bankStamp: nowMs(), grants, needed: [] })
       await time.settle()
     }
 
@@ -308,17 +308,17 @@
         askedHosts.push(host)
         return { send: (frame: FrameOf<'quota'>) => { sent.push(frame) } } as unknown as Channel
       }
-      const quotas = new Quotas({ limits: () => limits, entries: () => 4, bring: async () => false })
-      quotas.follow([{ name: team, keys: [], quota }])
-      const exchange = new QuotaExchange({ quotas, serverLimits: noLimits, hosts: () => ['10.0.0.1', '10.0.0.2'], channelTo, log: quietLog })
+      const quotas = new Quotas({ limits: () => limits, entries: () => 4, requestTokens: async () => false })
+      quotas.setTeams([{ name: team, keys: [], quota }])
+      const exchange = new QuotaExchange({ quotas, serverLimits: noLimits, hosts: () => ['10.0.0.1', '10.0.0.2'], channelTo, log: silentLog })
       const stop = new AbortController()
       void exchange.run(stop.signal)
-      await time.pass(300)
+      await time.advance(300)
       const [bank] = askedHosts
       for (let stall = 0; stall < 4; stall++) {
-        time.jump(600)
+        time.advanceSync(600)
         const frame = sent.at(-1)
-        setImmediate(() => exchange.take(askedHosts.at(-1) ?? '', channelTo(askedHosts.at(-1) ?? ''), { type: 'quota_grant', stamp: frame?.stamp ?? 0, bankStamp: 0, grants: [], needed: [] }))
+        setImmediate(() => exchange.handleGrant(askedHosts.at(-1) ?? '', channelTo(askedHosts.at(-1) ?? ''), { type: 'quota_grant', stamp: frame?.stamp ?? 0, bankStamp: 0, grants: [], needed: [] }))
         await time.settle()
       }
       stop.abort()
@@ -329,16 +329,16 @@
 
   describe('divided by an upper bound of the number of entries', () => {
     it('assume many entries until they are counted, and then the highest recent count', () => {
-      const entryBound = new EntryCeiling()
-      expect(entryBound.of(3, 33)).to.equal(49.5)
-      time.jump(2000)
-      expect(entryBound.of(26, 33)).to.equal(26)
-      time.jump(1000)
-      expect(entryBound.of(20, 33)).to.equal(26)
-      time.jump(14_000)
-      expect(entryBound.of(20, 33)).to.equal(26)
-      time.jump(16_000)
-      expect(entryBound.of(20, 33)).to.equal(20)
+      const entryBound = new EntryCountBound()
+      expect(entryBound.update(3, 33)).to.equal(49.5)
+      time.advanceSync(2000)
+      expect(entryBound.update(26, 33)).to.equal(26)
+      time.advanceSync(1000)
+      expect(entryBound.update(20, 33)).to.equal(26)
+      time.advanceSync(14_000)
+      expect(entryBound.update(20, 33)).to.equal(26)
+      time.advanceSync(16_000)
+      expect(entryBound.update(20, 33)).to.equal(20)
     })
   })
 })
@@ -351,11 +351,11 @@
 
   before(async () => {
     fleet = new FleetSystem({
-      network: 47, domains: 2, entriesPerDomain: 2, enginesPerDomain: 1, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 2, events: 3, eventMs: 2, bounds: { quotaWindowS: 2, quotaOverage: 0.1, quotaSlack: 1000 }
+      network: 47, domains: 2, entriesPerDomain: 2, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 2, events: 3, eventMs: 2, bounds: { quotaWindowS: 2, quotaOverage: 0.1, quotaSlack: 1000 }
     })
     await fleet.start()
     fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, { tenants: [{ name: 'red', apiKeys: ['k'], unit: 'tokens', plainTokens: 200, ratePerS: perSecond, burst: perSecond }] }))
-    await eventually('keys are required', async () => (await askFleet(fleet, { path: '/once/x', id: `quota-${sent++}` })).status === 401)
+    await eventually('keys are required', async () => (await sendToFleet(fleet, { path: '/once/x', id: `quota-${sent++}` })).status === 401)
     await pause(3500)
   })
 
@@ -368,7 +368,7 @@
     const retryAfter: number[] = []
     const caller = async (): Promise<void> => {
       while (Date.now() < until) {
-        const reply = await askFleet(fleet, { path: '/once/x', id: `quota-${sent++}`, headers: { authorization: 'Token k' } })
+        const reply = await sendToFleet(fleet, { path: '/once/x', id: `quota-${sent++}`, headers: { authorization: 'Token k' } })
         if (reply.status === 200) tokens += 200
         if (reply.status === 429) retryAfter.push(Number(reply.headers['retry-after']))
         await pause(10)
--- a/packages/fleet/test/limited-servers.test.ts
+++ b/packages/fleet/test/rate-limited-servers.test.ts
@@ -36,14 +36,14 @@
   let load: FleetLoad
 
   beforeEach(async () => {
-    fleet = new FleetSystem({ network: 48, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 4, loadMs: 20, workMs: 10, events: 3, eventMs: 5 })
+    fleet = new FleetSystem({ network: 48, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 4, loadMs: 20, workMs: 10, events: 3, eventMs: 5 })
     await fleet.start()
     load = new FleetLoad(fleet, 'limit')
-    await load.served(['/stream/x', '/again/x'])
+    await load.waitUntilServed(['/stream/x', '/again/x'])
   })
 
   afterEach(async function () {
-    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.keepLines(this.currentTest.title)}`)
+    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.saveLogLines(this.currentTest.title)}`)
     await fleet.stop()
   })
 
@@ -58,7 +58,7 @@
   for (const perSecond of [1.3, 4.8]) {
     it(`get no more requests from all entries than ${perSecond} per second allows, while other servers take the rest`, async () => {
       const engine = fleet.engines.find(each => each.adapters.has('a1')) as BackendStandIn
-      const plain = fleet.plain[0] as BackendStandIn
+      const plain = fleet.plainServers[0] as BackendStandIn
       const advertisedAt = performance.now()
       for (const server of [engine, plain]) server.limitPerSecond = perSecond
       const sent = await load.sendFor(testMs, requestIntervalMs, ['/stream/x', '/again/x'])
@@ -68,7 +68,7 @@
   }
 
   it('are protected by an entry that knows the limit only from reports of other entries', async () => {
-    const plain = fleet.plain[0] as BackendStandIn
+    const plain = fleet.plainServers[0] as BackendStandIn
     plain.limitPerSecond = 1.3
     while (plain.arrivals.length === 0 || plain.arrivals.at(-1)?.id.startsWith(load.idPrefix(0)) !== true) await load.send(0, '/again/x')
     await pause(reportMs)
@@ -79,28 +79,28 @@
   })
 
   it('get as many requests as before once they advertise no limit, or restart', async () => {
-    const [lifted, restarted] = fleet.plain as [BackendStandIn, BackendStandIn]
+    const [lifted, restarted] = fleet.plainServers as [BackendStandIn, BackendStandIn]
     for (const server of [lifted, restarted]) server.limitPerSecond = 1.3
     await load.sendFor(1000, requestIntervalMs, ['/again/x'])
     lifted.limitPerSecond = undefined
     restarted.limitPerSecond = undefined
     restarted.bornAt = 2
     restarted.restart(restarted.id)
-    fleet.list(restarted)
+    fleet.relist(restarted)
     await load.sendFor(3000, requestIntervalMs, ['/again/x'])
     const from = performance.now()
     await load.sendFor(1000, requestIntervalMs, ['/again/x'])
-    const unlimitedMinimum = 1000 / requestIntervalMs * fleet.entries.length / fleet.plain.length / 3
+    const unlimitedMinimum = 1000 / requestIntervalMs * fleet.entries.length / fleet.plainServers.length / 3
     for (const server of [lifted, restarted]) expect(server.arrivals.filter(({ at }) => at > from).length).to.be.above(unlimitedMinimum)
   })
 
   it('have callers rejected at once with a useful retry time, where all servers of a service advertise limits', async () => {
     const advertisedAt = performance.now()
-    for (const server of fleet.plain) server.limitPerSecond = 4.8
+    for (const server of fleet.plainServers) server.limitPerSecond = 4.8
     const sent = await load.sendFor(testMs, requestIntervalMs, ['/again/x'])
-    for (const server of fleet.plain) expect(maxArrivals(server, advertisedAt)).to.be.at.most(allowed(4.8))
+    for (const server of fleet.plainServers) expect(maxArrivals(server, advertisedAt)).to.be.at.most(allowed(4.8))
     const served = sent.filter(each => each.status === 200).length
-    expect(served).to.be.above(fleet.plain.length * 4.8 * testMs / 1000 / 2)
+    expect(served).to.be.above(fleet.plainServers.length * 4.8 * testMs / 1000 / 2)
     const rejected = sent.filter(each => each.status === 503)
     expect(served + rejected.length).to.equal(sent.length)
     expect(rejected.every(each => each.retryAfterMs >= 100 && each.retryAfterMs <= 5000)).to.equal(true)
--- a/packages/fleet/test/meeting-place.test.ts
+++ b/packages/fleet/test/rendezvous-selector.test.ts
@@ -1,11 +1,11 @@
-import { MeetingPlace } from '@finchpitch/fleet'
+import { RendezvousSelector } from '@finchpitch/fleet'
 import { expect } from 'chai'
 
 const hosts = ['10.0.0.1', '10.0.0.2', '10.0.0.3', '10.0.0.4']
 
 describe('rendezvous selection of a side process', () => {
   let now: number
-  const create = (purpose = 'quota'): MeetingPlace => new MeetingPlace({ matter: purpose, passedByMs: 2000, now: () => now })
+  const create = (purpose = 'quota'): RendezvousSelector => new RendezvousSelector({ purpose, skipMs: 2000, now: () => now })
 
   beforeEach(() => { now = 1000 })
 
@@ -21,7 +21,7 @@
   it('is the next one in order while the first is skipped', () => {
     const rendezvous = create()
     const first = rendezvous.choose(hosts) as string
-    rendezvous.passBy(first)
+    rendezvous.skip(first)
     now += 2000
     expect(rendezvous.choose(hosts)).to.equal(create().choose(hosts.filter(host => host !== first)))
     now += 1
@@ -30,7 +30,7 @@
 
   it('is undefined while all hosts are skipped', () => {
     const rendezvous = create()
-    for (const host of hosts) rendezvous.passBy(host)
+    for (const host of hosts) rendezvous.skip(host)
     expect(rendezvous.choose(hosts)).to.equal(undefined)
   })
 })
--- a/packages/fleet/test/repeated-crashes.test.ts
+++ b/packages/fleet/test/repeated-crashes.test.ts
@@ -9,7 +9,7 @@
  * domains, and each crashed alone.
  */
 import { pause } from '@finchpitch/core'
-import { FleetSystem, askFleet, type Ask, type Reply } from '@finchpitch/stand-ins'
+import { FleetSystem, sendToFleet, type FleetRequest, type FleetResponse } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 const retries = 10
@@ -23,25 +23,25 @@
   let fleet: FleetSystem
 
   before(async () => {
-    fleet = new FleetSystem({ network: 37, domains: 2, entriesPerDomain: 2, enginesPerDomain: 3, plainPerDomain: 1, places: 8, loadMs: 20, workMs: 20, events: 4, eventMs: 10 })
+    fleet = new FleetSystem({ network: 37, domains: 2, entriesPerDomain: 2, enginesPerDomain: 3, plainServersPerDomain: 1, adapterSlots: 8, loadMs: 20, workMs: 20, events: 4, eventMs: 10 })
     await fleet.start()
-    for (const engine of fleet.engines) engine.fatalPath = fatalPath
+    for (const engine of fleet.engines) engine.crashPath = fatalPath
   })
 
   after(() => fleet.stop())
 
   afterEach(async function () {
-    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.keepLines(this.currentTest.title)}`)
+    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.saveLogLines(this.currentTest.title)}`)
   })
 
   /** `undefined` if no response started. */
-  const ask = async (asked: Ask): Promise<Reply | undefined> => await askFleet(fleet, asked).catch(() => undefined)
+  const ask = async (asked: FleetRequest): Promise<FleetResponse | undefined> => await sendToFleet(fleet, asked).catch(() => undefined)
 
   /** Number of attempts that a server started to run. */
-  const runsOf = (id: string): number => [...fleet.engines, ...fleet.plain].flatMap(server => server.ran).filter(each => each.startsWith(id)).length
+  const runsOf = (id: string): number => [...fleet.engines, ...fleet.plainServers].flatMap(server => server.startedIds).filter(each => each.startsWith(id)).length
 
   it('is rejected at every entry once it has crashed two of them', async () => {
-    const replies: Array<Reply | undefined> = []
+    const replies: Array<FleetResponse | undefined> = []
     for (let each = 0; each < retries; each++) {
       replies.push(await ask({ path: fatalPath, id: `fatal-${each}`, model: 'base', entry: each % fleet.entries.length }))
       await pause(retryIntervalMs)
@@ -54,8 +54,8 @@
   })
 
   it('does not affect other requests', async () => {
-    const others: Ask[] = fleet.entries.map((_, entry) => ({ path: fatalPath, id: `other-body-${entry}`, model: 'base', entry, body: '{"ask":2}' }))
-    for (const engine of fleet.engines) engine.fatalPath = undefined
+    const others: FleetRequest[] = fleet.entries.map((_, entry) => ({ path: fatalPath, id: `other-body-${entry}`, model: 'base', entry, body: '{"ask":2}' }))
+    for (const engine of fleet.engines) engine.crashPath = undefined
     const replies = await Promise.all(others.map(ask))
     expect(replies.map(reply => reply?.status)).to.deep.equal(replies.map(() => 200))
   })
--- a/packages/fleet/test/replay/limit-replay.ts
+++ b/packages/fleet/test/replay/limit-simulation.ts
@@ -4,7 +4,7 @@
  * The entries run the production code except for sockets: frames between them and two banks take a fixed time, or are lost if
  * an entry is partitioned or a bank is down. Requests arrive at random times, from a seeded generator.
  */
-import { quietLog } from '@finchpitch/core'
+import { silentLog } from '@finchpitch/core'
 import { EntryCounters, QuotaBank, QuotaExchange, Quotas, ServerLimits, reportFrames, nowMs, type BackendServer, type AttemptReports } from '@finchpitch/fleet'
 import type { FakeTime } from '@finchpitch/stand-ins'
 import type { Channel, FrameOf } from '@finchpitch/wire'
@@ -18,9 +18,9 @@
   /** Requests per second at each entry that select the server. */
   demand: (entry: number) => number
   /** Upper bound of the number of entries that the entries assume; by default their actual number. */
-  assumed?: number
+  assumedEntries?: number
   /** One-way delay between an entry and a bank, and of reports from one entry to another. */
-  wayMs?: number
+  oneWayMs?: number
 }
 
 /** Time until the server starts its response. */
@@ -33,19 +33,19 @@
   at: number
   entry: number
   /** When its entry first reported a limit since it started; `undefined` if it has reported none. */
-  toldAt: number | undefined
+  limitReportedAt: number | undefined
 }
 
 interface SimulatedEntry {
   limits: ServerLimits
   exchange: QuotaExchange
   /** Partitioned from the banks and from all other entries. */
-  cut: boolean
-  toldAt: number | undefined
+  partitioned: boolean
+  limitReportedAt: number | undefined
   stop: AbortController
 }
 
-export class LimitReplay {
+export class LimitSimulation {
   readonly arrivals: Arrival[] = []
   readonly entries: SimulatedEntry[]
   perSecond = Infinity
@@ -56,15 +56,15 @@
 
   constructor (private readonly time: FakeTime, private readonly pattern: LimitPattern) {
     this.#random = xoroshiro128plus(pattern.seed)
-    this.#oneWayMs = pattern.wayMs ?? 3
+    this.#oneWayMs = pattern.oneWayMs ?? 3
     this.entries = Array.from({ length: pattern.entries }, (_, entry) => this.#startEntry(entry))
   }
 
-  async play (ms: number): Promise<void> {
+  async run (ms: number): Promise<void> {
     const until = nowMs() + ms
     while (nowMs() < until) {
       for (const entry of this.entries.keys()) if (uniformFloat64(this.#random) < this.pattern.demand(entry) * stepMs / 1000) void this.ask(entry)
-      await this.time.pass(stepMs)
+      await this.time.advance(stepMs)
     }
   }
 
@@ -74,24 +74,24 @@
     if (simulated === undefined) return false
     const { limits } = simulated
     const server = this.server
-    await limits.bring(server)
+    await limits.awaitCapacity(server)
     if (limits.state(server)?.ready === false) return false
-    const pass = limits.pass(server)
+    const pass = limits.acquire(server)
     if (pass === undefined) return false
     const sentAt = nowMs()
-    this.arrivals.push({ at: sentAt, entry, toldAt: simulated.toldAt })
+    this.arrivals.push({ at: sentAt, entry, limitReportedAt: simulated.limitReportedAt })
     const advertised = this.perSecond
     setTimeout(() => {
-      if (advertised !== Infinity) simulated.toldAt ??= nowMs()
-      if (this.entries[entry] === simulated) limits.heard(server, advertised, sentAt, 'r')
+      if (advertised !== Infinity) simulated.limitReportedAt ??= nowMs()
+      if (this.entries[entry] === simulated) limits.recordStatement(server, advertised, sentAt, 'r')
     }, responseMs)
     return true
   }
 
   /** Partitions the entry from banks and other entries, or ends that. */
-  setCut (entry: number, partitioned: boolean): void {
+  setPartitioned (entry: number, partitioned: boolean): void {
     const simulated = this.entries[entry % this.entries.length]
-    if (simulated !== undefined) simulated.cut = partitioned
+    if (simulated !== undefined) simulated.partitioned = partitioned
   }
 
   /** Stops or starts a bank. It is empty after a start. */
@@ -112,7 +112,7 @@
   }
 
   /** The highest number of requests in any window of this length, of those selected by `counts`. */
-  most (windowMs: number, counts: (arrival: Arrival) => boolean): number {
+  maxRequests (windowMs: number, counts: (arrival: Arrival) => boolean): number {
     return Math.max(0, ...this.windows(windowMs, counts).map(({ requests }) => requests))
   }
 
@@ -131,17 +131,17 @@
   }
 
   #startEntry (entry: number): SimulatedEntry {
-    const entries = (): number => this.pattern.assumed ?? this.pattern.entries
-    const limits = new ServerLimits({ entries, exchange: { tell: reports => this.#report(entry, reports) }, exchanged: async () => await simulated.exchange.exchanged(), waiting: () => 0, changed: () => {}, counters: new EntryCounters(), log: quietLog })
+    const entries = (): number => this.pattern.assumedEntries ?? this.pattern.entries
+    const limits = new ServerLimits({ entries, reporter: { report: reports => this.#report(entry, reports) }, exchangeNow: async () => await simulated.exchange.exchangeNow(), waiting: () => 0, onChange: () => {}, counters: new EntryCounters(), log: silentLog })
     const channels = new Map(bankHosts.map(host => [host, this.#createChannel(entry, host)]))
     const exchange = new QuotaExchange({
-      quotas: new Quotas({ limits: () => { throw new Error('no team has a quota') }, entries, bring: async () => false }),
+      quotas: new Quotas({ limits: () => { throw new Error('no team has a quota') }, entries, requestTokens: async () => false }),
       serverLimits: limits,
       hosts: () => bankHosts,
       channelTo: host => channels.get(host),
-      log: quietLog
+      log: silentLog
     })
-    const simulated: SimulatedEntry = { limits, exchange, cut: false, toldAt: undefined, stop: new AbortController() }
+    const simulated: SimulatedEntry = { limits, exchange, partitioned: false, limitReportedAt: undefined, stop: new AbortController() }
     void exchange.run(simulated.stop.signal)
     return simulated
   }
@@ -150,15 +150,15 @@
   #report (from: number, reports: AttemptReports): void {
     const frames = reportFrames(reports)
     this.#deliver(from, () => {
-      for (const [entry, { limits, cut: partitioned }] of this.entries.entries()) if (entry !== from && !partitioned) for (const frame of frames) limits.take(frame, 'a side process')
+      for (const [entry, { limits, partitioned }] of this.entries.entries()) if (entry !== from && !partitioned) for (const frame of frames) limits.handleReport(frame, 'a side process')
     })
   }
 
   /** Runs the action after the one-way delay, unless the entry is partitioned or restarted by then. */
   #deliver (entry: number, action: () => void): void {
     const simulated = this.entries[entry]
-    if (simulated?.cut === true) return
-    setTimeout(() => { if (this.entries[entry] === simulated && simulated?.cut !== true) action() }, this.#oneWayMs)
+    if (simulated?.partitioned === true) return
+    setTimeout(() => { if (this.entries[entry] === simulated && simulated?.partitioned !== true) action() }, this.#oneWayMs)
   }
 
   #createChannel (entry: number, host: string): Channel {
@@ -168,7 +168,7 @@
           const bank = this.#banks.get(host)
           if (bank === undefined) return
           const grant = bank.exchange(`entry-${entry}`, frame, () => undefined)
-          this.#deliver(entry, () => this.entries[entry]?.exchange.take(host, channel, grant))
+          this.#deliver(entry, () => this.entries[entry]?.exchange.handleGrant(host, channel, grant))
         })
         return true
       }
--- a/packages/fleet/test/replay/probe-replay.ts
+++ b/packages/fleet/test/replay/probe-simulation.ts
@@ -4,8 +4,8 @@
  * Entries and side processes run the production code except for sockets: frames take a few ms, or are lost if a process is
  * isolated or stopped.
  */
-import { quietLog } from '@finchpitch/core'
-import { AttemptReportRelay, Crashes, EntryCounters, ProbeExchange, RequestCrashes, ServerLiveness, reportFrames, nowMs, type BackendServer, type AttemptReports, type Facts, type IncomingRequest } from '@finchpitch/fleet'
+import { silentLog } from '@finchpitch/core'
+import { AttemptReportRelay, CrashTracker, EntryCounters, ProbeRequester, RequestCrashes, ServerLiveness, reportFrames, nowMs, type BackendServer, type AttemptReports, type Facts, type IncomingRequest } from '@finchpitch/fleet'
 import type { FakeTime } from '@finchpitch/stand-ins'
 import type { Channel, Frame } from '@finchpitch/wire'
 
@@ -15,27 +15,27 @@
 const hosts = ['10.0.0.1', '10.0.0.2', '10.0.0.3']
 
 interface SimulatedEntry {
-  crashes: Crashes
-  probes: ProbeExchange
+  crashes: CrashTracker
+  probes: ProbeRequester
   /** Cut off from all side processes. */
-  deaf: boolean
+  isolated: boolean
 }
 
-export interface Sending {
+export interface SentCopy {
   at: number
   entry: number
 }
 
-export class ProbeReplay {
-  readonly sendings: Sending[] = []
+export class ProbeSimulation {
+  readonly sentCopies: SentCopy[] = []
   /** Number of copies that were not sent. */
   refused = 0
   /** Times of server crashes. */
-  readonly ends: number[] = []
+  readonly crashTimes: number[] = []
   /** Whether the request crashes its servers. */
   fatal = true
   /** Called with the entry for each copy that is sent. */
-  sent: (entry: number) => void = () => {}
+  onSend: (entry: number) => void = () => {}
   readonly entries: SimulatedEntry[]
   readonly #relays = new Map<string, AttemptReportRelay>()
   readonly #channels: Array<Map<string, Channel>>
@@ -52,23 +52,23 @@
     this.#relays.set(host, new AttemptReportRelay(() => this.#channels.map(channels => channels.get(host)).filter(channel => channel !== undefined)))
   }
 
-  endRelay (host: string): void {
+  stopRelay (host: string): void {
     this.#relays.get(host)?.close()
     this.#relays.delete(host)
   }
 
   /** Sends copies to the entries in turn. */
-  async play (ms: number, perSecond: number): Promise<void> {
+  async run (ms: number, perSecond: number): Promise<void> {
     const until = nowMs() + ms
     while (nowMs() < until) {
       void this.#sendCopy(this.#copies % this.entries.length)
       this.#copies += 1
-      await this.time.pass(1000 / perSecond)
+      await this.time.advance(1000 / perSecond)
     }
   }
 
   stop (): void {
-    for (const host of [...this.#relays.keys()]) this.endRelay(host)
+    for (const host of [...this.#relays.keys()]) this.stopRelay(host)
   }
 
   async #sendCopy (entry: number): Promise<void> {
@@ -80,30 +80,30 @@
       return
     }
     const sentAt = nowMs()
-    const server: BackendServer = { id: `s${this.sendings.length}`, service: 's', address: '10.0.1.1:80', domain: 'a', slots: 1, leaving: false, models: [] }
-    this.sendings.push({ at: sentAt, entry })
-    this.sent(entry)
+    const server: BackendServer = { id: `s${this.sentCopies.length}`, service: 's', address: '10.0.1.1:80', domain: 'a', slots: 1, leaving: false, models: [] }
+    this.sentCopies.push({ at: sentAt, entry })
+    this.onSend(entry)
     setTimeout(() => {
-      if (this.fatal) this.ends.push(nowMs())
-      if (simulated.deaf) return
+      if (this.fatal) this.crashTimes.push(nowMs())
+      if (simulated.isolated) return
       if (this.fatal) request.brokeOff(server, sentAt, undefined)
       else request.completed(undefined)
     }, runMs)
   }
 
   #startEntry (entry: number): SimulatedEntry {
-    const probes = new ProbeExchange({ hosts: () => hosts, channelTo: host => this.#channelToRelay(entry, host), log: quietLog })
+    const probes = new ProbeRequester({ hosts: () => hosts, channelTo: host => this.#channelToRelay(entry, host), log: silentLog })
     const facts = { servers: { get: () => ({ leaving: false }) }, onChange: () => {} } as unknown as Facts
-    const crashes = new Crashes({
+    const crashes = new CrashTracker({
       facts,
-      ends: new ServerLiveness(async () => true),
-      exchange: { tell: reports => this.#report(entry, reports) },
-      askProbe: async fingerprint => await probes.ask(fingerprint),
-      quarantined: () => {},
+      liveness: new ServerLiveness(async () => true),
+      reporter: { report: reports => this.#report(entry, reports) },
+      requestProbe: async fingerprint => await probes.ask(fingerprint),
+      onQuarantine: () => {},
       counters: new EntryCounters(),
-      log: quietLog
+      log: silentLog
     })
-    return { crashes, probes, deaf: false }
+    return { crashes, probes, isolated: false }
   }
 
   #report (entry: number, reports: AttemptReports): void {
@@ -111,8 +111,8 @@
   }
 
   #deliver (entry: number, action: () => void): void {
-    if (this.entries[entry]?.deaf === true) return
-    setTimeout(() => { if (this.entries[entry]?.deaf === false) action() }, oneWayMs)
+    if (this.entries[entry]?.isolated === true) return
+    setTimeout(() => { if (this.entries[entry]?.isolated === false) action() }, oneWayMs)
   }
 
   #channelToRelay (entry: number, host: string): Channel {
@@ -128,8 +128,8 @@
     const send = (frame: Frame): boolean => {
       this.#deliver(entry, () => {
         const simulated = this.entries[entry]
-        if (frame.type === 'crashes') simulated?.crashes.take(frame, host)
-        if (frame.type === 'crashes_noted') simulated?.probes.noted(host, frame.stamp, frame.granted === true)
+        if (frame.type === 'crashes') simulated?.crashes.handleReport(frame, host)
+        if (frame.type === 'crashes_noted') simulated?.probes.handleAnswer(host, frame.stamp, frame.granted === true)
       })
       return true
     }
--- a/packages/fleet/test/request-queue.test.ts
+++ b/packages/fleet/test/request-queue.test.ts
@@ -43,7 +43,7 @@
     wait('last', queuedRequest('c', 1))
     freeSlots = 2
     queue.scheduleScan()
-    await time.pass(50)
+    await time.advance(50)
     expect(order).to.deep.equal(['urgent chosen', 'late chosen'])
     expect(queue.size).to.equal(1)
   })
@@ -54,7 +54,7 @@
     wait('either', queuedRequest('c'), { type: 'bring', ask: 'e', held: true, reason: 'its holders are full' })
     freeSlots = 3
     queue.scheduleCapacityScan()
-    await time.pass(50)
+    await time.advance(50)
     expect(order).to.deep.equal(['place chosen', 'either chosen'])
   })
 
@@ -70,9 +70,9 @@
     wait('cancelled', queuedRequest('a'), full, cancellation)
     wait('expired', queuedRequest('a', 1, 300))
     cancellation.cancel()
-    await time.pass(10)
+    await time.advance(10)
     expect(order).to.deep.equal(['cancelled cancelled'])
-    await time.pass(400)
+    await time.advance(400)
     expect(order).to.deep.equal(['cancelled cancelled', 'expired expired'])
     expect(queue.size).to.equal(0)
   })
@@ -83,7 +83,7 @@
     wait('good', queuedRequest('k'))
     quarantined = true
     queue.scheduleScan()
-    await time.pass(20)
+    await time.advance(20)
     expect(order).to.deep.equal(['bad quarantined'])
   })
 
@@ -105,11 +105,11 @@
     it('ends the wait of requests whose turn comes too late, from the end of the queue', async () => {
       for (const rank of [3, 1, 2]) wait(`rank ${rank}`, limitedRequest(rank, 300), limited)
       queue.scheduleScan()
-      await time.pass(20)
+      await time.advance(20)
       expect(order).to.deep.equal(['rank 3 expired'])
       freeSlots = 1
       queue.scheduleScan()
-      await time.pass(20)
+      await time.advance(20)
       expect(order).to.deep.equal(['rank 3 expired', 'rank 1 chosen'])
     })
   })
--- a/packages/fleet/test/request-times.test.ts
+++ b/packages/fleet/test/request-times.test.ts
@@ -26,12 +26,12 @@
   })
 
   it('run from the caller\'s first attempt, with no time limit once the objective is missed', async () => {
-    await time.pass(200)
+    await time.advance(200)
     expect(times.timeToObjectiveMs(route)).to.be.closeTo(400, 5)
     times.firstTriedMs = 300
     expect(times.timeToObjectiveMs(route)).to.be.closeTo(100, 5)
     expect(times.rank(route, 20)).to.be.lessThan(6)
-    await time.pass(150)
+    await time.advance(150)
     expect(times.timeToObjectiveMs(route)).to.equal(Infinity)
     expect(times.rank(route, 20)).to.be.at.least(6)
   })
--- a/packages/fleet/test/born-again.test.ts
+++ b/packages/fleet/test/restarted-server.test.ts
@@ -1,4 +1,4 @@
-import { quietLog } from '@finchpitch/core'
+import { silentLog } from '@finchpitch/core'
 import { EngineMirror, Facts, OrderSender, ServerStates, SideCounters, type BackendServer, type EngineStatus, type EngineControl, type Fact, type EngineReport } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
@@ -20,7 +20,7 @@
 
   beforeEach(() => {
     time = new FakeTime()
-    facts = new Facts(quietLog, () => 1000)
+    facts = new Facts(silentLog, () => 1000)
   })
 
   afterEach(() => time.restore())
@@ -97,7 +97,7 @@
     it('is reported as replaced, once', () => {
       let replaced = 0
       const engine: EngineControl = { status: async () => ok({} as unknown as EngineStatus), order: async () => ({ outcome: 'done', detail: '' }) }
-      const orders = new OrderSender({ engine, engineAddress: '10.0.0.1:80', facts, counters: new SideCounters(), log: quietLog, onEngineReplaced: () => { replaced += 1 } })
+      const orders = new OrderSender({ engine, engineAddress: '10.0.0.1:80', facts, counters: new SideCounters(), log: silentLog, onEngineReplaced: () => { replaced += 1 } })
       orders.updateEngineId('i')
       for (const bornAt of [firstStart, firstStart, secondStart, secondStart, undefined]) orders.recordEngineStart(bornAt)
       expect(replaced).to.equal(1)
--- a/packages/fleet/test/restored-store.test.ts
+++ b/packages/fleet/test/restored-store.test.ts
@@ -26,15 +26,15 @@
   let load: FleetLoad
 
   beforeEach(async () => {
-    fleet = new FleetSystem({ network: 70, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5 })
+    fleet = new FleetSystem({ network: 70, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5 })
     await fleet.start()
     changes = new RouteChanges(fleet, 'restored')
     load = new FleetLoad(fleet, 'restored')
-    await load.served(['/again/x'])
+    await load.waitUntilServed(['/again/x'])
   })
 
   afterEach(async function () {
-    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.keepLines(this.currentTest.title)}`)
+    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.saveLogLines(this.currentTest.title)}`)
     changes.close()
     await fleet.stop()
   })
@@ -44,7 +44,7 @@
     const { store } = fleet
     const backup = store.backup()
     for (let each = 0; each < lostWrites; each++) store.put('config', 'main', fleet.table(store.writeCount + 100))
-    for (const server of fleet.plain) fleet.list(server)
+    for (const server of fleet.plainServers) fleet.relist(server)
     changes.add()
     await pause(recoveryMs)
     store.fault = 'reset'
@@ -69,15 +69,15 @@
     await pause(applyMs + changeIntervalMs)
     stop.abort()
     await requests
-    const late = changes.late(applyMs, slackMs).filter(({ probe }) => probe.sentAt > from)
+    const late = changes.lateChanges(applyMs, slackMs).filter(({ probe }) => probe.sentAt > from)
     expect(late.length, late.slice(0, maxFailuresShown).map(describeLate).join('\n')).to.equal(0)
   })
 
   it('draining servers get no requests after the drain time', async () => {
-    const server = fleet.plain[0] as BackendStandIn
+    const server = fleet.plainServers[0] as BackendStandIn
     await restore()
     await pause(recoveryMs)
-    fleet.list(server, 'draining')
+    fleet.relist(server, 'draining')
     const acknowledgedAt = performance.now()
     const sent = await load.sendFor(drainMs + recoveryMs, requestIntervalMs, ['/again/x'])
     const late = new Set(sent.filter(({ at }) => at > acknowledgedAt + drainMs).map(({ id }) => id))
--- a/packages/fleet/test/changes-in-force.test.ts
+++ b/packages/fleet/test/route-change-propagation.test.ts
@@ -9,7 +9,7 @@
  * side process, and 3.0 s later at the entry, than at the entries of other domains.
  */
 import { pause } from '@finchpitch/core'
-import { FleetSystem, RouteChanges, type FaultProxy, type Harm, type LateChange, type Machine, type RouteProbe } from '@finchpitch/stand-ins'
+import { FleetSystem, RouteChanges, type FaultProxy, type ConnectionFault, type LateChange, type Machine, type RouteProbe } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 /** The time within which a change has to be in force after the store acknowledged it. */
@@ -25,9 +25,9 @@
 const maxReported = 5
 
 /** Each entry is the only one of its domain, so no other local entry can watch the store for it. */
-const oneEntryPerDomain = { network: 60, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5, storeFronts: true }
+const oneEntryPerDomain = { network: 60, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5, storeProxies: true }
 /** In each domain, one entry leaves the store to the three others. */
-const fourEntriesPerDomain = { ...oneEntryPerDomain, network: 62, domains: 2, entriesPerDomain: 4, enginesPerDomain: 2, storeFronts: false }
+const fourEntriesPerDomain = { ...oneEntryPerDomain, network: 62, domains: 2, entriesPerDomain: 4, enginesPerDomain: 2, storeProxies: false }
 
 const describeLate = ({ probe, fault, afterMs }: LateChange): string => `${probe.id} ${probe.route.path} at entry ${probe.entry}: ${fault} for ${Math.round(afterMs)} ms`
 
@@ -61,7 +61,7 @@
   const counts = ({ entry, sentAt }: RouteProbe): boolean => sentAt > (restarted.includes(entry) ? until + recoveryMs : from)
   // Otherwise an entry could avoid late changes by refusing every request that it can't judge yet.
   expect(changes.refused(applyMs).filter(counts)).to.deep.equal([])
-  return changes.late(applyMs, slackMs).filter(({ probe }) => counts(probe))
+  return changes.lateChanges(applyMs, slackMs).filter(({ probe }) => counts(probe))
 }
 
 describe('route changes while the store does not answer one entry', function () {
@@ -81,20 +81,20 @@
   })
 
   /** Applies `harm` to the connections of these entries to the store for `faultMs`. */
-  const injectFault = async (entries: readonly number[], harm: Harm): Promise<void> => {
-    const fronts = entries.map(entry => fleet.storeFronts[entry] as FaultProxy)
+  const injectFault = async (entries: readonly number[], harm: ConnectionFault): Promise<void> => {
+    const fronts = entries.map(entry => fleet.storeProxies[entry] as FaultProxy)
     for (const front of fronts) {
-      front.harm = harm
+      front.fault = harm
       front.resetAll()
     }
     await pause(faultMs)
     for (const front of fronts) {
-      front.harm = { type: 'none' }
+      front.fault = { type: 'none' }
       front.resetAll()
     }
   }
 
-  for (const harm of [{ type: 'reset' }, { type: 'silence' }] as Harm[]) {
+  for (const harm of [{ type: 'reset' }, { type: 'silence' }] as ConnectionFault[]) {
     it(`are in force everywhere in time if its calls meet ${harm.type}`, async () => {
       expectNoLateChanges(await lateDuring(changes, async () => {
         await injectFault([0], harm)
--- a/packages/fleet/test/server-backoff.test.ts
+++ b/packages/fleet/test/server-backoff.test.ts
@@ -27,21 +27,21 @@
   let load: FleetLoad
 
   beforeEach(async () => {
-    fleet = new FleetSystem({ network: 39, domains: 2, entriesPerDomain: 1, enginesPerDomain: 2, plainPerDomain: 2, places: 4, loadMs: 20, workMs: 10, events: 3, eventMs: 5 })
+    fleet = new FleetSystem({ network: 39, domains: 2, entriesPerDomain: 1, enginesPerDomain: 2, plainServersPerDomain: 2, adapterSlots: 4, loadMs: 20, workMs: 10, events: 3, eventMs: 5 })
     await fleet.start()
     load = new FleetLoad(fleet, 'rest')
-    await load.served(['/stream/x', '/again/x'])
+    await load.waitUntilServed(['/stream/x', '/again/x'])
   })
 
   afterEach(async function () {
-    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.keepLines(this.currentTest.title)}`)
+    if (this.currentTest?.state === 'failed') console.log(`logs kept: ${await fleet.saveLogLines(this.currentTest.title)}`)
     await fleet.stop()
   })
 
   const askForBackoff = (servers: readonly BackendStandIn[]): void => {
     for (const server of servers) {
       server.fault = 'shedding'
-      server.restSeconds = String(backoffMs / 1000)
+      server.retryAfterSeconds = String(backoffMs / 1000)
     }
   }
 
@@ -57,7 +57,7 @@
 
   it('receive no requests from the entries that they asked, while other servers answer', async () => {
     const engine = fleet.engines.find(each => each.adapters.has('a1')) as BackendStandIn
-    const plain = fleet.plain[0] as BackendStandIn
+    const plain = fleet.plainServers[0] as BackendStandIn
     askForBackoff([engine, plain])
     const sent = await load.sendFor(backoffMs * 2, requestIntervalMs, ['/stream/x', '/again/x'])
     expect(sent.filter(each => each.status !== 200)).to.deep.equal([])
@@ -67,16 +67,16 @@
   })
 
   it('make entries answer at once with a retry time when all of them are in backoff', async () => {
-    askForBackoff(fleet.plain)
+    askForBackoff(fleet.plainServers)
     const askedForMs = bindingMs * 2
     await load.sendFor(askedForMs, requestIntervalMs, ['/again/x'])
     const [answer] = await Promise.all([load.send(0, '/again/x'), load.send(1, '/again/x')])
     expect(answer.status).to.equal(503)
     expect(answer.endedAt - answer.at).to.be.lessThan(immediateMs)
     expect(answer.retryAfterMs).to.be.within(1, backoffMs - askedForMs + slackMs)
-    for (const server of fleet.plain) server.fault = 'none'
+    for (const server of fleet.plainServers) server.fault = 'none'
     await pause(answer.retryAfterMs)
     expect(await load.send(0, '/again/x')).to.include({ status: 200 })
-    expect(fleet.plain.map(maxArrivals).every(most => most <= maxDuringBackoff)).to.equal(true)
+    expect(fleet.plainServers.map(maxArrivals).every(most => most <= maxDuringBackoff)).to.equal(true)
   })
 })
--- a/packages/fleet/test/server-limits.test.ts
+++ b/packages/fleet/test/server-limits.test.ts
@@ -2,7 +2,7 @@
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { LimitReplay, type Arrival, type LimitPattern } from './replay/limit-replay.js'
+import { LimitSimulation, type Arrival, type LimitPattern } from './replay/limit-simulation.js'
 
 const windowMs = 4000
 /** The bound applies starting this long after a server first advertised its limit. */
@@ -15,7 +15,7 @@
 describe('rate limits of servers, across all entries', function () {
   this.timeout(120_000)
   let time: FakeTime
-  let simulation: LimitReplay
+  let simulation: LimitSimulation
 
   beforeEach(() => { time = new FakeTime() })
   afterEach(() => {
@@ -23,7 +23,7 @@
     time.restore()
   })
 
-  const begin = (pattern: LimitPattern): void => { simulation = new LimitReplay(time, pattern) }
+  const begin = (pattern: LimitPattern): void => { simulation = new LimitSimulation(time, pattern) }
 
   describe('are enforced and fully used', () => {
     const loads: Array<[what: string, demand: (entries: number, perSecond: number) => (entry: number) => number]> = [
@@ -36,13 +36,13 @@
         for (const [what, demand] of loads) {
           it(`${entries} entries, ${perSecond} per second, ${what}`, async () => {
             begin({ seed: 1, entries, demand: demand(entries, perSecond) })
-            await simulation.play(2000)
+            await simulation.run(2000)
             const advertisedAt = nowMs()
             simulation.perSecond = perSecond
             const seconds = 30
-            await simulation.play(seconds * 1000)
+            await simulation.run(seconds * 1000)
             const counts = ({ at }: Arrival): boolean => at > advertisedAt + propagationMs
-            expect(simulation.most(windowMs, counts)).to.be.at.most(allowed(perSecond))
+            expect(simulation.maxRequests(windowMs, counts)).to.be.at.most(allowed(perSecond))
             expect(simulation.arrivals.filter(counts).length / (perSecond * (seconds - propagationMs / 1000))).to.be.above(minUtilization)
           })
         }
@@ -56,15 +56,15 @@
         it(`${entries} entries, ${perSecond} per second, no demand for 8 s and then far too much`, async () => {
           let demand = 1
           begin({ seed: 2, entries, demand: () => demand })
-          await simulation.play(2000)
+          await simulation.run(2000)
           simulation.perSecond = perSecond
-          await simulation.play(1500)
+          await simulation.run(1500)
           demand = 0
-          await simulation.play(8000)
+          await simulation.run(8000)
           const surgeAt = nowMs()
           demand = 10 + perSecond
-          await simulation.play(windowMs + 1000)
-          expect(simulation.most(windowMs, ({ at }) => at > surgeAt)).to.be.at.most(allowed(perSecond))
+          await simulation.run(windowMs + 1000)
+          expect(simulation.maxRequests(windowMs, ({ at }) => at > surgeAt)).to.be.at.most(allowed(perSecond))
         })
       }
     }
@@ -74,22 +74,22 @@
     it('apply while their server is listed, and are dropped some time after it is gone', async () => {
       begin({ seed: 3, entries: 1, demand: () => 5 })
       simulation.perSecond = 1.3
-      await simulation.play(1000)
+      await simulation.run(1000)
       const { limits } = simulation.entries[0] ?? expect.fail('no entry')
       for (const listed of [[simulation.server], []]) {
-        await time.pass(25_000)
+        await time.advance(25_000)
         limits.expire(listed)
-        expect(limits.none).to.equal(false)
+        expect(limits.isEmpty).to.equal(false)
       }
-      await time.pass(31_000)
+      await time.advance(31_000)
       limits.expire([])
-      expect(limits.none).to.equal(true)
+      expect(limits.isEmpty).to.equal(true)
     })
 
     it('apply to one incarnation of their server', async () => {
       begin({ seed: 4, entries: 1, demand: () => 5 })
       simulation.perSecond = 1.3
-      await simulation.play(1000)
+      await simulation.run(1000)
       const { limits } = simulation.entries[0] ?? expect.fail('no entry')
       expect(limits.state(simulation.server)).to.not.equal(undefined)
       expect(limits.state({ ...simulation.server, bornAt: 2 })).to.equal(undefined)
@@ -120,14 +120,14 @@
     }
 
     const actions: { [Type in Step['type']]: (each: Extract<Step, { type: Type }>) => Promise<void> | void } = {
-      pass: ({ ms }) => simulation.play(ms),
+      pass: ({ ms }) => simulation.run(ms),
       name: ({ perSecond }) => advertise(perSecond),
       end: () => advertise(Infinity),
-      cut: ({ entry }) => { simulation.setCut(entry, true) },
-      heal: ({ entry }) => { simulation.setCut(entry, false) },
+      cut: ({ entry }) => { simulation.setPartitioned(entry, true) },
+      heal: ({ entry }) => { simulation.setPartitioned(entry, false) },
       restart: ({ entry }) => simulation.restart(entry % simulation.entries.length),
       bank: ({ bank, dead }) => simulation.setBank(bank, !dead),
-      flood: async ({ entry, requests }) => { await Promise.race([Promise.all(Array.from({ length: requests }, () => simulation.ask(entry % simulation.entries.length))), simulation.play(20)]) }
+      flood: async ({ entry, requests }) => { await Promise.race([Promise.all(Array.from({ length: requests }, () => simulation.ask(entry % simulation.entries.length))), simulation.run(20)]) }
     }
 
     /** The highest limit in effect between `from` and `until`; `Infinity` if there was none, or not for long enough to apply. */
@@ -152,7 +152,7 @@
           for (const each of steps) await (actions[each.type] as (each: Step) => Promise<void> | void)(each)
           simulation.stop()
           // Counts requests sent more than 0.5 s after their entry first reported a limit, which has propagated by then.
-          const counts = ({ at, toldAt }: Arrival): boolean => toldAt !== undefined && at > toldAt + 500
+          const counts = ({ at, limitReportedAt: toldAt }: Arrival): boolean => toldAt !== undefined && at > toldAt + 500
           for (const { from, requests } of simulation.windows(windowMs, counts)) expect(requests).to.be.at.most(allowed(highestLimit(from, from + windowMs)))
         }), { numRuns: 60 })
       })
--- a/packages/fleet/test/server-state.test.ts
+++ b/packages/fleet/test/server-state.test.ts
@@ -32,7 +32,7 @@
       state.end(undefined, pending)
     }
     expect(state.load).to.equal(20)
-    await time.pass(400)
+    await time.advance(400)
     expect(state.load).to.equal(0)
   })
 })
--- a/packages/fleet/test/side-links.test.ts
+++ b/packages/fleet/test/side-links.test.ts
@@ -1,4 +1,4 @@
-import { quietLog } from '@finchpitch/core'
+import { silentLog } from '@finchpitch/core'
 import { BackendServer, Facts, ServerStates, SideLinks } from '@finchpitch/fleet'
 import { FakeTime, channelOptions, duplexPair } from '@finchpitch/stand-ins'
 import { Channel } from '@finchpitch/wire'
@@ -21,7 +21,7 @@
     links = new SideLinks({
       process: 'entry',
       domain: 'a',
-      facts: new Facts(quietLog, () => 1000),
+      facts: new Facts(silentLog, () => 1000),
       states: new ServerStates(),
       sidePort: 7,
       channel: channelOptions('entry'),
@@ -32,15 +32,15 @@
         void (async () => { for await (const frame of side.frames()) void frame })()
         return entryEnd
       },
-      log: quietLog,
+      log: silentLog,
       watching: () => false,
-      prove: async () => {},
-      changed: () => {},
+      ensureProof: async () => {},
+      onEngineChange: () => {},
       granted: () => {},
       crashes: () => {},
-      crashesNoted: () => {},
-      joinedNear: () => {},
-      appointmentsChanged: () => { appointmentChanges += 1 }
+      onReportAcknowledged: () => {},
+      onLocalConnect: () => {},
+      onAppointmentsChange: () => { appointmentChanges += 1 }
     })
     links.reconcile([engineAt('10.0.0.1'), engineAt('10.0.0.2')])
     await time.settle(10)
--- a/packages/fleet/test/silent-store.test.ts
+++ b/packages/fleet/test/silent-store.test.ts
@@ -7,7 +7,7 @@
  * only after 4 s: the longest wait of a watch plus 1 s. The store counted four calls of each entry in the second before its
  * return and none in the next two, and all four logged `store.regained` for the table 4.1 to 4.3 s after those calls.
  */
-import { pause, quietLog } from '@finchpitch/core'
+import { pause, silentLog } from '@finchpitch/core'
 import { Facts, StoreHealth, DutySwitch, watchFacts, watchPauseMs, type Fact, type FactPage, type FactSource, type StoreFailure } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
@@ -86,7 +86,7 @@
 /** A process that watches the store from its start. */
 class WatchingProcess {
   readonly store = new SilentStore()
-  readonly facts = new Facts(quietLog, () => 1000)
+  readonly facts = new Facts(silentLog, () => 1000)
   readonly #stop = new AbortController()
 
   constructor () {
@@ -96,7 +96,7 @@
     this.store.change('version', 1)
     for (const kind of kinds) {
       const pauseMs = (of: Fact['kind']): number => watchPauseMs(of, 4, 2000)
-      void watchFacts({ source: this.store.source(kind), facts: this.facts, log: quietLog, signal: this.#stop.signal, outage: storeHealth, duty, pauseMs })
+      void watchFacts({ source: this.store.source(kind), facts: this.facts, log: silentLog, signal: this.#stop.signal, outage: storeHealth, duty, pauseMs })
     }
   }
 
@@ -119,13 +119,13 @@
     const missed: number[] = []
     for (let silentMs = 1000; silentMs <= 16_000; silentMs += 250) {
       const watcher = new WatchingProcess()
-      await time.pass(2000)
+      await time.advance(2000)
       watcher.store.silence(kinds)
-      await time.pass(silentMs)
+      await time.advance(silentMs)
       watcher.store.silence([])
       watcher.store.change('table', 2)
       watcher.store.change('version', 2)
-      await time.pass(applyMs)
+      await time.advance(applyMs)
       if (watcher.inForce('table') !== 2 || watcher.inForce('version') !== 2) missed.push(silentMs)
       watcher.stop()
     }
@@ -137,13 +137,13 @@
       const missed: number[] = []
       for (let liveMs = 0; liveMs <= 6000; liveMs += 250) {
         const watcher = new WatchingProcess()
-        await time.pass(2000 + liveMs)
+        await time.advance(2000 + liveMs)
         watcher.store.silence([kind])
         // Calls made from now on use a new connection, which is answered.
         setTimeout(() => watcher.store.silence([]), 0)
-        await time.pass(recoveryMs - applyMs)
+        await time.advance(recoveryMs - applyMs)
         watcher.store.change(kind, 2)
-        await time.pass(applyMs)
+        await time.advance(applyMs)
         if (watcher.inForce(kind) !== 2) missed.push(liveMs)
         watcher.stop()
       }
--- a/packages/fleet/test/store-connection-reset.test.ts
+++ b/packages/fleet/test/store-connection-reset.test.ts
@@ -17,12 +17,12 @@
   let load: FleetLoad
 
   before(async () => {
-    fleet = new FleetSystem({ network: 72, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5, storeFronts: true })
+    fleet = new FleetSystem({ network: 72, domains: 3, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5, storeProxies: true })
     await fleet.start()
     load = new FleetLoad(fleet, 'rejected')
-    await load.served([path])
-    const proxy = fleet.storeFronts[0] as FaultProxy
-    proxy.harm = { type: 'reset' }
+    await load.waitUntilServed([path])
+    const proxy = fleet.storeProxies[0] as FaultProxy
+    proxy.fault = { type: 'reset' }
     proxy.resetAll()
     await pause(recoveryMs)
   })
@@ -40,13 +40,13 @@
   }
 
   it('sends no requests to a draining server after the drain time', async () => {
-    const server = fleet.plain[0] as BackendStandIn
-    fleet.list(server, 'draining')
+    const server = fleet.plainServers[0] as BackendStandIn
+    fleet.relist(server, 'draining')
     expect(await lateArrivals(server)).to.deep.equal([])
   })
 
   it('sends no requests to a removed server after the drain time', async () => {
-    const server = fleet.plain[1] as BackendStandIn
+    const server = fleet.plainServers[1] as BackendStandIn
     fleet.store.remove('servers', server.id)
     expect(await lateArrivals(server)).to.deep.equal([])
   })
--- a/packages/fleet/test/store-watch.test.ts
+++ b/packages/fleet/test/store-watch.test.ts
@@ -1,5 +1,5 @@
 import { pause } from '@finchpitch/core'
-import { FleetSystem, askFleet, eventually, type Machine } from '@finchpitch/stand-ins'
+import { FleetSystem, sendToFleet, eventually, type Machine } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 const startupMs = 3500
@@ -10,7 +10,7 @@
   let fleet: FleetSystem
 
   const status = async (path: string, entry: number): Promise<number> =>
-    (await askFleet(fleet, { path, id: `watch-${requestCount++}`, entry })).status
+    (await sendToFleet(fleet, { path, id: `watch-${requestCount++}`, entry })).status
 
   const isWatching = (entry: Machine): boolean =>
     fleet.lines(entry).filter(line => line.event === 'store.duty_changed').at(-1)?.watch !== false
@@ -31,7 +31,7 @@
   }
 
   beforeEach(async () => {
-    fleet = new FleetSystem({ network: 35, domains: 1, entriesPerDomain: 6, enginesPerDomain: 2, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 3, eventMs: 5 })
+    fleet = new FleetSystem({ network: 35, domains: 1, entriesPerDomain: 6, enginesPerDomain: 2, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 5, events: 3, eventMs: 5 })
     await fleet.start()
     await pause(startupMs)
   })
--- a/packages/fleet/test/subscriber.test.ts
+++ b/packages/fleet/test/subscriber.test.ts
@@ -1,6 +1,6 @@
 import { EngineUpdate, Subscriber, type EngineSnapshot } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
-import { FrameReader, type Frame } from '@finchpitch/wire'
+import { FrameDecoder, type Frame } from '@finchpitch/wire'
 import { expect } from 'chai'
 
 const ownHost = '10.0.0.1'
@@ -17,7 +17,7 @@
   })
 
   const subscriberOf = (isLocal: boolean): Subscriber => {
-    const frameReader = new FrameReader()
+    const frameReader = new FrameDecoder()
     const channel = {
       send: (frame: Frame) => { sent.push(frame) },
       sendEncoded: (frames: Buffer[]) => { for (const frame of frames) sent.push(...frameReader.read(frame)._unsafeUnwrap()) },
@@ -50,10 +50,10 @@
     })
 
     it('are not sent while nothing changes, except as a keep-alive', async () => {
-      await time.pass(1000)
+      await time.advance(1000)
       subscriber.publish(update(), relayed)
       expect(sent).to.have.length(1)
-      await time.pass(600)
+      await time.advance(600)
       subscriber.publish(update(), relayed)
       expect(sent).to.have.length(2)
     })
@@ -67,7 +67,7 @@
     })
 
     it('include the prompt tokens not prefilled yet once they differ by enough to matter', async () => {
-      await time.pass(300)
+      await time.advance(300)
       subscriber.publish(update({ unread: 1500 }), relayed)
       expect(sent).to.have.length(1)
       subscriber.publish(update({ unread: 2500 }), relayed)
@@ -75,45 +75,45 @@
     })
 
     it('contain only the fields that differ', async () => {
-      await time.pass(300)
+      await time.advance(300)
       subscriber.publish(update({ running: 4 }), relayed)
       expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, running: 4 })
-      await time.pass(300)
+      await time.advance(300)
       subscriber.publish(update({ running: 4, server: undefined, changes: 1, held: new Map([['m/a', 2]]) }), relayed)
       expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, server: null, came: { 'm/a': 2 } })
-      await time.pass(300)
+      await time.advance(300)
       subscriber.publish(update({ running: 4, lost: true, changes: 1, held: new Map([['m/a', 2]]) }), relayed)
       expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, server: 's', lost: true })
-      await time.pass(300)
+      await time.advance(300)
       subscriber.publish(update({ running: 4, changes: 1, held: new Map([['m/a', 2]]) }), relayed)
       expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, lost: false })
     })
 
     it('contain the load when it changed by a few requests, and smaller changes with the keep-alive', async () => {
-      await time.pass(300)
+      await time.advance(300)
       subscriber.publish(update({ running: 2 }), relayed)
       expect(sent).to.have.length(1)
       subscriber.publish(update({ running: 2, waiting: 1 }), relayed)
       expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, running: 2, waiting: 1 })
-      await time.pass(300)
+      await time.advance(300)
       subscriber.publish(update({ running: 1, waiting: 1 }), relayed)
       expect(sent).to.have.length(2)
-      await time.pass(1300)
+      await time.advance(1300)
       subscriber.publish(update({ running: 1, waiting: 1 }), relayed)
       expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, running: 1 })
     })
 
     it('contain the number of entries as soon as it changes', async () => {
-      await time.pass(50)
+      await time.advance(50)
       subscriber.publish(update({ entries: 2 }), relayed)
       expect(sent.at(-1)).to.include({ entries: 2 })
     })
 
     it('contain only the keys added and removed since the last one', async () => {
-      await time.pass(50)
+      await time.advance(50)
       const first = update({ changes: 1, held: new Map([['m/a', 1], ['m/b', 1]]) })
       subscriber.publish(first, relayed)
-      await time.pass(50)
+      await time.advance(50)
       subscriber.publish(update({ changes: 2, held: new Map([['m/b', 2]]) }), relayed)
       expect(sent.slice(1).map(frame => [(frame as { came?: unknown }).came, (frame as { went?: unknown }).went])).to.deep.equal([
         [{ 'm/a': 1, 'm/b': 1 }, undefined], [{ 'm/b': 2 }, ['m/a']]
@@ -177,11 +177,11 @@
       relayed.set(remoteHost, update({ host: remoteHost, running: 3 }))
       subscriber.publish(update(), relayed)
       for (const running of [6, 7]) {
-        await time.pass(50)
+        await time.advance(50)
         relayed.set(remoteHost, update({ host: remoteHost, running }))
         subscriber.publish(update(), relayed)
       }
-      await time.pass(310)
+      await time.advance(310)
       subscriber.publish(update(), relayed)
       expect(sent.map(frame => [(frame as { host?: string }).host, (frame as { running?: number }).running])).to.deep.equal([[remoteHost, 3], [remoteHost, 7]])
     })
@@ -193,10 +193,10 @@
       relayed.set(remoteHost, update({ host: remoteHost, running: 3 }))
       subscriber.publish(update(), relayed)
       relayed.set(remoteHost, update({ host: remoteHost, running: 4 }))
-      await time.pass(10)
+      await time.advance(10)
       subscriber.publish(update({ changes: 1, held: new Map([['m/a', 1]]) }), relayed)
       expect(hostsSince(2)).to.deep.equal([ownHost])
-      await time.pass(200)
+      await time.advance(200)
       subscriber.publish(update({ changes: 2, held: new Map([['m/b', 1]]) }), relayed)
       expect(hostsSince(3)).to.deep.equal([ownHost, remoteHost])
     })
@@ -205,12 +205,12 @@
       const subscriber = subscriberOf(true)
       subscriber.setSubscriptions([ownHost])
       subscriber.publish(update({ batchSize: 48 }), relayed)
-      await time.pass(250)
+      await time.advance(250)
       subscriber.publish(update({ batchSize: 48, running: 4 }), relayed)
       expect(sent).to.have.length(1)
       subscriber.publish(update({ batchSize: 48, running: 5 }), relayed)
       expect(sent).to.have.length(2)
-      await time.pass(250)
+      await time.advance(250)
       subscriber.publish(update({ batchSize: 12, running: 7 }), relayed)
       expect(sent).to.have.length(3)
     })
--- a/packages/fleet/test/subscribers.test.ts
+++ b/packages/fleet/test/subscribers.test.ts
@@ -5,7 +5,7 @@
  * connection it reports that nothing is missing, so nobody sends it the facts. In the logs of real processes, one side process
  * logged `reader.lost` for two entries at revision 316 and, 80 ms later, for the same two at revision 324.
  */
-import { ProcessId, FailureDomain, quietLog } from '@finchpitch/core'
+import { ProcessId, FailureDomain, silentLog } from '@finchpitch/core'
 import { EngineUpdate, Facts, Subscribers, type Fact, type Subscriber } from '@finchpitch/fleet'
 import { FakeTime, channelOptions } from '@finchpitch/stand-ins'
 import type { Channel, Frame, StoreSight } from '@finchpitch/wire'
@@ -25,8 +25,8 @@
   const engineUpdate = (): EngineUpdate => new EngineUpdate({ host, changes: 0, held: new Map(), coming: [], warm: () => [], reachable: true, server: 's', waiting: 0, running: 0, unread: 0, entries: 1, strangers: 0, fence: 1 })
 
   beforeEach(() => {
-    facts = new Facts(quietLog, () => 1000)
-    subscribers = new Subscribers({ domain, host, facts, engineUpdate, sidePort: 1, channel: channelOptions('side'), dial: async () => { throw new Error('no side process listens') }, log: quietLog })
+    facts = new Facts(silentLog, () => 1000)
+    subscribers = new Subscribers({ domain, host, facts, engineUpdate, sidePort: 1, channel: channelOptions('side'), dial: async () => { throw new Error('no side process listens') }, log: silentLog })
     entry = subscribers.add(channel)
   })
 
@@ -82,19 +82,19 @@
         subscribers.handleFrame({ type: 'follow', hosts: [host], relay }, subscriber)
         reportSight(subscriber, 'reading')
         facts.offer(named(2), 'store')
-        await time.pass(sendMs)
+        await time.advance(sendMs)
         expect(received).to.deep.equal([])
         reportSight(subscriber, 'blind')
-        await time.pass(sendMs)
+        await time.advance(sendMs)
         expect(received).to.deep.equal([2])
         facts.offer(named(3), 'store')
-        await time.pass(sendMs)
+        await time.advance(sendMs)
         expect(received).to.deep.equal([2, 3])
         reportSight(subscriber, 'reading')
         facts.offer(named(4), 'store')
-        await time.pass(sendMs)
+        await time.advance(sendMs)
         expect(received).to.deep.equal([2, 3])
-        await time.pass(holdbackMs)
+        await time.advance(holdbackMs)
         expect(received).to.deep.equal([2, 3, 4])
       })
     }
--- a/packages/fleet/test/suspension.test.ts
+++ b/packages/fleet/test/suspension.test.ts
@@ -3,7 +3,7 @@
  * during a suspension, so ages computed from it are too low by its length: a key lease that had expired long ago was taken as
  * valid, and expired quota tokens were spent in addition to those that the other entries had earned meanwhile.
  */
-import { quietLog } from '@finchpitch/core'
+import { silentLog } from '@finchpitch/core'
 import { tokenLifetimeMs, type QuotaRate } from '@finchpitch/decisions'
 import { Facts, KeyLease, QuotaBank, QuotaExchange, Quotas, TableProver, acceptProof, answerProofRequest, requestProof, boottimeMs, hashKey, noLimits, nowMs, quotaBoundOf, type FactPage, type FactSource, type FleetTeam, type Limits, type RoutingTable, type StoreFailure } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
@@ -19,7 +19,7 @@
 const table: RoutingTable = { version: 1, routes: [], services: [], teams: [team], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } }
 
 const factsWithTable = (): Facts => {
-  const facts = new Facts(quietLog, () => 1000)
+  const facts = new Facts(silentLog, () => 1000)
   facts.offer({ kind: 'table', key: 'table', revision: 1, value: table }, 'store')
   facts.markComplete('table', 1)
   return facts
@@ -37,9 +37,9 @@
   describe('the boot-time clock', () => {
     it('includes the suspension, and otherwise runs with the monotonic clock', async () => {
       const [boottime, monotonic] = [boottimeMs(), nowMs()]
-      await time.pass(100)
+      await time.advance(100)
       time.suspend(suspendedMs)
-      await time.pass(100)
+      await time.advance(100)
       expect(nowMs() - monotonic).to.equal(200)
       expect(boottimeMs() - boottime).to.equal(200 + suspendedMs)
     })
@@ -47,7 +47,7 @@
     it('does not go back when the wall clock is set back', async () => {
       const boottime = boottimeMs()
       time.suspend(-suspendedMs)
-      await time.pass(100)
+      await time.advance(100)
       expect(boottimeMs() - boottime).to.equal(100)
     })
 
@@ -55,7 +55,7 @@
       const boottime = boottimeMs()
       for (let each = 0; each < 100; each++) {
         time.suspend(5)
-        await time.pass(1000)
+        await time.advance(1000)
         boottimeMs()
       }
       expect(boottimeMs() - boottime).to.equal(100_000)
@@ -79,7 +79,7 @@
         return ok({ facts: [], revision: 1 })
       }
       const source: FactSource = { kind: 'table', list: async () => await changes(), changes }
-      await new TableProver(source, facts, new AbortController().signal).prove()
+      await new TableProver(source, facts, new AbortController().signal).ensureProof()
       expect(facts.freshness.ageMs).to.be.at.least(suspendedMs)
     })
 
@@ -103,20 +103,20 @@
     const canReserve = async (tokens: number): Promise<boolean> => typeof await quotas.reserve(team, `${tokens},0`) !== 'number'
 
     beforeEach(() => {
-      quotas = new Quotas({ limits: () => limits, entries: () => 2, bring: async () => false })
-      quotas.follow([team])
+      quotas = new Quotas({ limits: () => limits, entries: () => 2, requestTokens: async () => false })
+      quotas.setTeams([team])
     })
 
     it('that were earned before the suspension have expired, and none are earned during it', async () => {
-      await time.pass(lifetimeMs)
+      await time.advance(lifetimeMs)
       time.suspend(suspendedMs)
       expect(await canReserve(1)).to.equal(false)
-      await time.pass(1000)
+      await time.advance(1000)
       expect(await canReserve(4000)).to.equal(true)
     })
 
     it('that were reserved before the suspension are not spent after it', async () => {
-      await time.pass(1000)
+      await time.advance(1000)
       const reserved = await quotas.reserve(team, '4000,0')
       time.suspend(suspendedMs)
       expect(typeof reserved !== 'number' && quotas.spend(reserved)).to.equal(false)
@@ -135,11 +135,11 @@
     it('that arrive after the suspension, requested before it, are at least as old as the request', async () => {
       const frames: Frame[] = []
       const channel = collectingChannel(frames)
-      const exchange = new QuotaExchange({ quotas, serverLimits: noLimits, hosts: () => ['h'], channelTo: () => channel, log: quietLog })
-      void exchange.bring('red', 50_000)
+      const exchange = new QuotaExchange({ quotas, serverLimits: noLimits, hosts: () => ['h'], channelTo: () => channel, log: silentLog })
+      void exchange.requestTokens('red', 50_000)
       const { stamp } = frames[0] as FrameOf<'quota'>
       time.suspend(suspendedMs)
-      exchange.take('h', channel, { type: 'quota_grant', stamp, bankStamp: 1, grants: [['red', 50_000, 0]], needed: [] })
+      exchange.handleGrant('h', channel, { type: 'quota_grant', stamp, bankStamp: 1, grants: [['red', 50_000, 0]], needed: [] })
       expect(await canReserve(1000)).to.equal(false)
     })
   })
--- a/packages/fleet/test/teams.test.ts
+++ b/packages/fleet/test/teams.test.ts
@@ -1,4 +1,4 @@
-import { FleetSystem, askFleet, eventually, type Ask, type Reply } from '@finchpitch/stand-ins'
+import { FleetSystem, sendToFleet, eventually, type FleetRequest, type FleetResponse } from '@finchpitch/stand-ins'
 import { RouteIndex, admit, credentialOf, hashKey, buildOutgoingRequest, type HeaderNames, type OutgoingContext, type Route } from '@finchpitch/fleet'
 import { headerNames } from '@finchpitch/platform'
 import { pause } from '@finchpitch/core'
@@ -118,13 +118,13 @@
     this.timeout(60_000)
     let fleet: FleetSystem
     let sent = 0
-    const ask = (asked: Omit<Ask, 'id'> & { id?: string }): Promise<Reply> => askFleet(fleet, { id: `team-request-${sent++}`, ...asked })
+    const ask = (asked: Omit<FleetRequest, 'id'> & { id?: string }): Promise<FleetResponse> => sendToFleet(fleet, { id: `team-request-${sent++}`, ...asked })
     const withKey = (key: string): Record<string, string> => ({ authorization: `Token ${key}` })
     const tenants = (...keys: string[]): Record<string, unknown> => ({ tenants: [{ name: 'red', apiKeys: keys, priority: 0 }] })
     const publish = (more: Record<string, unknown>): void => { fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, more)) }
 
     before(async () => {
-      fleet = new FleetSystem({ network: 45, domains: 1, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
+      fleet = new FleetSystem({ network: 45, domains: 1, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
       await fleet.start()
       publish(tenants('red-key-one', 'red-key-two'))
       await eventually('keys are required', async () => (await ask({ path: '/once/x' })).status === 401)
@@ -135,7 +135,7 @@
     it('runs a request with a key for its team, without passing the key on', async () => {
       const id = 'team-request-known'
       expect(await ask({ id, path: '/once/x', headers: { ...withKey('red-key-one'), tenant: 'blue' } })).to.include({ status: 200 })
-      const headers = fleet.plain[0]?.headers.get(id)
+      const headers = fleet.plainServers[0]?.headers.get(id)
       expect(headers).to.include({ tenant: 'red' })
       expect(headers).to.not.have.property('authorization')
     })
@@ -144,7 +144,7 @@
       const id = 'team-request-unknown'
       expect(await ask({ id, path: '/once/x', headers: withKey('green-key') })).to.include({ status: 401 })
       expect(await ask({ path: '/stream/x', model: 'base/a1', headers: { authorization: ['Token red-key-one', 'Token green-key'] } })).to.include({ status: 401 })
-      expect(fleet.plain[0]?.ran).to.not.include(id)
+      expect(fleet.plainServers[0]?.startedIds).to.not.include(id)
     })
 
     it('applies the revocation of a key, also to a waiting request', async () => {
@@ -155,7 +155,7 @@
       await pause(200)
       publish(tenants('red-key-one'))
       expect((await waiting).status).to.equal(401)
-      expect(engine.ran).to.not.include('team-request-waiting')
+      expect(engine.startedIds).to.not.include('team-request-waiting')
       expect(await ask({ path: '/once/x', headers: withKey('red-key-one') })).to.include({ status: 200 })
     })
 
--- a/packages/fleet/test/unknown-routes.test.ts
+++ b/packages/fleet/test/unknown-routes.test.ts
@@ -4,7 +4,7 @@
  * be in force, it was an immediate 404, and the log line of the request had the version of the table but not its age.
  */
 import { pause } from '@finchpitch/core'
-import { FleetSystem, askFleet, type Reply } from '@finchpitch/stand-ins'
+import { FleetSystem, sendToFleet, type FleetResponse } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 /** A change has to be in force this long after the store has acknowledged it. */
@@ -18,13 +18,13 @@
   let fleet: FleetSystem
   let asked = 0
 
-  const ask = async (entry: number): Promise<Reply> => {
+  const ask = async (entry: number): Promise<FleetResponse> => {
     asked += 1
-    return await askFleet(fleet, { path: '/unknown/x', id: `unknown-${asked}`, entry })
+    return await sendToFleet(fleet, { path: '/unknown/x', id: `unknown-${asked}`, entry })
   }
 
   before(async () => {
-    fleet = new FleetSystem({ network: 61, domains: 1, entriesPerDomain, enginesPerDomain: 2, plainPerDomain: 1, places: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5 })
+    fleet = new FleetSystem({ network: 61, domains: 1, entriesPerDomain, enginesPerDomain: 2, plainServersPerDomain: 1, adapterSlots: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5 })
     await fleet.start()
     // Only the three entries that are appointed to read the store do so.
     await pause(applyMs)
@@ -55,7 +55,7 @@
     })
 
     it('is served after the outage if the route was added meanwhile', async () => {
-      fleet.moreRoutes = [{ name: 'r-unknown', host: 'fleet.example', pathPrefix: '/unknown/', kind: 'idempotent', timeoutMs: 1000, targetLatencyMs: 150, priority: 2, maxAttempts: 2, service: 'ledger', sticky: false, resumable: false }]
+      fleet.extraRoutes = [{ name: 'r-unknown', host: 'fleet.example', pathPrefix: '/unknown/', kind: 'idempotent', timeoutMs: 1000, targetLatencyMs: 150, priority: 2, maxAttempts: 2, service: 'ledger', sticky: false, resumable: false }]
       fleet.store.put('config', 'main', fleet.table(2))
       fleet.store.fault = 'none'
       await pause(applyMs)
--- a/packages/fleet/test/update-relay.test.ts
+++ b/packages/fleet/test/update-relay.test.ts
@@ -1,5 +1,5 @@
 import { pause } from '@finchpitch/core'
-import { FleetSystem, askFleet, eventually, type Machine } from '@finchpitch/stand-ins'
+import { FleetSystem, sendToFleet, eventually, type Machine } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 const startupMs = 2500
@@ -10,7 +10,7 @@
   let fleet: FleetSystem
 
   const ask = async (model: string, entry: number): Promise<number> =>
-    (await askFleet(fleet, { path: '/stream/x', id: `relay-${sent++}`, model, entry })).status
+    (await sendToFleet(fleet, { path: '/stream/x', id: `relay-${sent++}`, model, entry })).status
 
   /** Names of the peers that are connected to a side process now. */
   const connectedPeers = (side: Machine, prefix: string): string[] => {
@@ -22,7 +22,7 @@
     machine === undefined ? [] : fleet.lines(machine).filter(line => line.event === event)
 
   beforeEach(async () => {
-    fleet = new FleetSystem({ network: 34, domains: 2, entriesPerDomain: 2, enginesPerDomain: 2, plainPerDomain: 0, places: 3, loadMs: 60, workMs: 5, events: 3, eventMs: 5 })
+    fleet = new FleetSystem({ network: 34, domains: 2, entriesPerDomain: 2, enginesPerDomain: 2, plainServersPerDomain: 0, adapterSlots: 3, loadMs: 60, workMs: 5, events: 3, eventMs: 5 })
     await fleet.start()
     await pause(startupMs)
   })
--- a/packages/fleet/test/news-sources.test.ts
+++ b/packages/fleet/test/update-sources.test.ts
@@ -1,5 +1,5 @@
-import { quietLog } from '@finchpitch/core'
-import { NewsSources, newsSources } from '@finchpitch/fleet'
+import { silentLog } from '@finchpitch/core'
+import { UpdateSources, selectUpdateSources } from '@finchpitch/fleet'
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
@@ -8,54 +8,54 @@
 
 describe('the sources of engine updates', () => {
   it('are the own side process of a local engine, and a local side process for each remote one', () => {
-    const sources = newsSources({ near: localHosts, far: remoteHosts })
+    const sources = selectUpdateSources({ local: localHosts, remote: remoteHosts })
     for (const host of localHosts) expect(sources.get(host)).to.equal(host)
     for (const host of remoteHosts) expect(localHosts).to.include(sources.get(host))
   })
 
   it('are the same for all entries of a domain, in whatever order they learned of the hosts', () => {
-    expect(newsSources({ near: [...localHosts].reverse(), far: remoteHosts })).to.deep.equal(newsSources({ near: localHosts, far: remoteHosts }))
+    expect(selectUpdateSources({ local: [...localHosts].reverse(), remote: remoteHosts })).to.deep.equal(selectUpdateSources({ local: localHosts, remote: remoteHosts }))
   })
 
   it('spread remote engines over the local side processes', () => {
     const counts = new Map<string, number>()
-    const sources = newsSources({ near: localHosts, far: remoteHosts })
+    const sources = selectUpdateSources({ local: localHosts, remote: remoteHosts })
     for (const host of remoteHosts) counts.set(sources.get(host) ?? '', (counts.get(sources.get(host) ?? '') ?? 0) + 1)
     expect(Math.max(...counts.values())).to.be.at.most(12)
   })
 
   it('change only for the engines of a side process that is lost', () => {
-    const before = newsSources({ near: localHosts, far: remoteHosts })
+    const before = selectUpdateSources({ local: localHosts, remote: remoteHosts })
     const lost = localHosts[4] ?? ''
-    const after = newsSources({ near: localHosts.filter(host => host !== lost), far: remoteHosts })
+    const after = selectUpdateSources({ local: localHosts.filter(host => host !== lost), remote: remoteHosts })
     for (const host of remoteHosts) if (before.get(host) !== lost) expect(after.get(host)).to.equal(before.get(host))
   })
 
   it('are each engine\'s own side process if there is no local one', () => {
-    for (const [host, source] of newsSources({ near: [], far: remoteHosts })) expect(source).to.equal(host)
+    for (const [host, source] of selectUpdateSources({ local: [], remote: remoteHosts })) expect(source).to.equal(host)
   })
 
   describe('as hosts change', () => {
     let time: FakeTime
-    let sources: NewsSources
+    let sources: UpdateSources
 
     beforeEach(() => {
       time = new FakeTime()
-      sources = new NewsSources(quietLog)
+      sources = new UpdateSources(silentLog)
     })
 
     afterEach(() => time.restore())
 
     it('are selected once no more local side processes connect', async () => {
       for (let each = 1; each <= localHosts.length; each++) {
-        expect(sources.choose({ near: localHosts.slice(0, each), far: remoteHosts })).to.equal(false)
-        await time.pass(100)
+        expect(sources.select({ local: localHosts.slice(0, each), remote: remoteHosts })).to.equal(false)
+        await time.advance(100)
       }
-      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(false)
-      await time.pass(200)
-      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(true)
-      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(false)
-      expect(localHosts).to.include(sources.of(remoteHosts[0] ?? ''))
+      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(false)
+      await time.advance(200)
+      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(true)
+      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(false)
+      expect(localHosts).to.include(sources.sourceOf(remoteHosts[0] ?? ''))
     })
 
     /*
@@ -63,31 +63,31 @@
      * for just as long, an early check cost another 200 ms, and updates relayed by a frozen side process resumed after 1.6 s.
      */
     it('are selected at the second check, even if it is slightly early', async () => {
-      sources.choose({ near: localHosts, far: remoteHosts })
-      await time.pass(300)
-      expect(sources.choose({ near: localHosts, far: remoteHosts })).to.equal(true)
+      sources.select({ local: localHosts, remote: remoteHosts })
+      await time.advance(300)
+      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(true)
       const remaining = localHosts.slice(1)
-      expect(sources.choose({ near: remaining, far: remoteHosts })).to.equal(false)
-      await time.pass(199)
-      expect(sources.choose({ near: remaining, far: remoteHosts })).to.equal(true)
+      expect(sources.select({ local: remaining, remote: remoteHosts })).to.equal(false)
+      await time.advance(199)
+      expect(sources.select({ local: remaining, remote: remoteHosts })).to.equal(true)
     })
 
     it('are each engine\'s own side process once no local one has responded for a second', async () => {
-      sources.choose({ near: localHosts, far: remoteHosts })
-      await time.pass(300)
-      sources.choose({ near: localHosts, far: remoteHosts })
+      sources.select({ local: localHosts, remote: remoteHosts })
+      await time.advance(300)
+      sources.select({ local: localHosts, remote: remoteHosts })
       const selectedAtMs: number[] = []
       for (let ms = 0; ms <= 2000; ms += 100) {
-        if (sources.choose({ near: [], far: remoteHosts }) && sources.of(remoteHosts[0] ?? '') === remoteHosts[0]) selectedAtMs.push(ms)
-        await time.pass(100)
+        if (sources.select({ local: [], remote: remoteHosts }) && sources.sourceOf(remoteHosts[0] ?? '') === remoteHosts[0]) selectedAtMs.push(ms)
+        await time.advance(100)
       }
-      expect(sources.toldBy(remoteHosts[0] ?? '', false)).to.deep.equal([remoteHosts[0]])
+      expect(sources.subscriptionsAt(remoteHosts[0] ?? '', false)).to.deep.equal([remoteHosts[0]])
       expect(selectedAtMs.at(-1)).to.be.within(1000, 1400)
     })
 
     it('are, before the first selection, only the own side processes of local engines', () => {
-      expect(sources.toldBy(localHosts[0] ?? '', true)).to.deep.equal([localHosts[0]])
-      expect(sources.toldBy(remoteHosts[0] ?? '', false)).to.deep.equal([])
+      expect(sources.subscriptionsAt(localHosts[0] ?? '', true)).to.deep.equal([localHosts[0]])
+      expect(sources.subscriptionsAt(remoteHosts[0] ?? '', false)).to.deep.equal([])
     })
   })
 })
--- a/packages/http/src/gateway.ts
+++ b/packages/http/src/gateway.ts
@@ -6,10 +6,10 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
-import { newRequestId, notRun, unknown } from '@finchpitch/core'
+import { newRequestId, notRun, outcomeUnknown } from '@finchpitch/core'
 import { ServiceBroker, type Service, type ServiceSchema } from 'moleculer'
 import ApiGateway from 'moleculer-web'
-import { sendFailure } from './answer.js'
+import { sendFailure } from './response.js'
 
 export interface Exchange {
   request: IncomingMessage
@@ -46,7 +46,7 @@
   try {
     await handler({ request, response, params: request.$params })
   } catch (error) {
-    sendFailure(response, unknown('internal', { detail: (error as Error).message }), newRequestId())
+    sendFailure(response, outcomeUnknown('internal', { detail: (error as Error).message }), newRequestId())
   }
 }
 
--- a/packages/http/src/answer.ts
+++ b/packages/http/src/response.ts
@@ -6,7 +6,7 @@
  */
 import { once } from 'node:events'
 import type { ServerResponse } from 'node:http'
-import { AnswerFailure, unknown, type Answer, type Failure, type Finding } from '@finchpitch/core'
+import { ResponseError, outcomeUnknown, type HttpResponse, type Failure, type Finding } from '@finchpitch/core'
 import { errorBody, errorStatus, retryAfterHeader } from './error-body.js'
 
 export const outcomeHeader = 'finchpitch-outcome'
@@ -25,11 +25,11 @@
   response.end(body)
 }
 
-const isEventStream = (answer: Answer): boolean =>
+const isEventStream = (answer: HttpResponse): boolean =>
   (answer.headers['content-type'] ?? '').startsWith('text/event-stream')
 
 const failureOf = (error: unknown): Failure =>
-  error instanceof AnswerFailure ? error.failure : unknown('internal', { detail: (error as Error).message })
+  error instanceof ResponseError ? error.failure : outcomeUnknown('internal', { detail: (error as Error).message })
 
 /** Waits until the write buffer has drained; false if the client closed the connection. */
 const waitForDrain = async (response: ServerResponse): Promise<boolean> => {
@@ -47,9 +47,9 @@
   }
 }
 
-export type Delivery = { kind: 'whole', bytes: number } | { kind: 'failed', failure: Failure } | { kind: 'hung_up' }
+export type SendOutcome = { kind: 'whole', bytes: number } | { kind: 'failed', failure: Failure } | { kind: 'hung_up' }
 
-export const sendAnswer = async (response: ServerResponse, answer: Answer, requestId: string): Promise<Delivery> => {
+export const sendResponse = async (response: ServerResponse, answer: HttpResponse, requestId: string): Promise<SendOutcome> => {
   let bytes = 0
   const writeHead = (): void => {
     if (response.headersSent) return
@@ -76,7 +76,7 @@
   }
 }
 
-const endTruncated = (response: ServerResponse, answer: Answer, failure: Failure, requestId: string): void => {
+const endTruncated = (response: ServerResponse, answer: HttpResponse, failure: Failure, requestId: string): void => {
   if (!response.headersSent) return sendFailure(response, failure, requestId)
   if (isEventStream(answer)) response.end(`event: error\ndata: ${JSON.stringify(errorBody(failure, requestId))}\n\n`)
   else response.destroy()
--- a/packages/operators/src/client.ts
+++ b/packages/operators/src/client.ts
@@ -6,21 +6,21 @@
 import type { z } from 'zod'
 import { ApplyReply, ConfigurationReply, ErrorReply, HistoryReply, LogLevelBody, StatusReply, type ApplyBody } from './protocol.js'
 
-export interface ClientOptions {
+export interface OperatorClientOptions {
   /** `http://host:port` of an entry's operator API. */
   origin: string
   token: string
 }
 
-export interface ClientFault {
+export interface OperatorClientError {
   code: 'unreachable' | 'refused' | 'not_understood'
   message: string
 }
 
-type Reply<T> = Promise<Result<T, ClientFault>>
+type Reply<T> = Promise<Result<T, OperatorClientError>>
 
 export class OperatorClient {
-  constructor (private readonly options: ClientOptions) {}
+  constructor (private readonly options: OperatorClientOptions) {}
 
   apply (body: ApplyBody): Reply<ApplyReply> {
     return this.#call('POST', '/operator/v1/apply', ApplyReply, body)
--- a/packages/operators/src/routes.ts
+++ b/packages/operators/src/routes.ts
@@ -5,7 +5,7 @@
 import { timingSafeEqual } from 'node:crypto'
 import { findingsOf, newRequestId, notRun, printFindings, type Failure, type LogLevel } from '@finchpitch/core'
 import { readBody, sendFailure, type Exchange, type RouteHandler, type Routes } from '@finchpitch/http'
-import { hashOfToken } from '@finchpitch/store'
+import { hashToken } from '@finchpitch/store'
 import { err, ok, type Result } from 'neverthrow'
 import type { z } from 'zod'
 import { ApplyBody, LogLevelBody, type ApplyReply, type ConfigurationReply, type HistoryReply, type StatusReply } from './protocol.js'
@@ -13,16 +13,16 @@
 /** Ample for a configuration of 52,000 adapters, which takes about 10 MB. */
 const maxApplyBytes = 64 * 1024 * 1024
 
-export interface Operations {
+export interface OperatorHandlers {
   apply: (body: ApplyBody) => Promise<ApplyReply>
   configuration: () => ConfigurationReply
   history: () => HistoryReply
   status: () => StatusReply
 }
 
-export interface ProcessOperations {
+export interface ProcessHandlers {
   /** Why the process is not ready to serve requests; `undefined` if it is. */
-  unready: () => string | undefined
+  notReadyReason: () => string | undefined
   metrics: () => Promise<string>
   setLogLevel: (level: LogLevel) => void
 }
@@ -45,7 +45,7 @@
 const isAuthorized = (request: IncomingMessage, { tokenHash }: OperatorAccess): boolean => {
   const token = /^Bearer (\S+)$/i.exec(request.headers.authorization ?? '')?.[1]
   if (token === undefined) return false
-  return timingSafeEqual(Buffer.from(hashOfToken(token)), Buffer.from(tokenHash))
+  return timingSafeEqual(Buffer.from(hashToken(token)), Buffer.from(tokenHash))
 }
 
 const requireOperator = (access: OperatorAccess, handler: RouteHandler): RouteHandler => async exchange => {
@@ -81,7 +81,7 @@
   applied: 200, unchanged: 200, conflict: 409, invalid: 422, unsettled: 504, unavailable: 503
 }
 
-export const operatorRoutes = (operations: Operations, access: OperatorAccess): Routes => {
+export const operatorRoutes = (operations: OperatorHandlers, access: OperatorAccess): Routes => {
   const replyWith = (read: () => unknown): RouteHandler => requireOperator(access, async ({ response }) => sendJson(response, 200, read()))
   return {
     'POST /operator/v1/apply': requireOperator(access, async exchange => {
@@ -96,7 +96,7 @@
   }
 }
 
-export const processRoutes = ({ unready: notReadyReason, metrics, setLogLevel }: ProcessOperations, access: OperatorAccess): Routes => ({
+export const processRoutes = ({ notReadyReason, metrics, setLogLevel }: ProcessHandlers, access: OperatorAccess): Routes => ({
   'GET /healthz': async ({ response }) => sendText(response, 200, 'ok\n'),
   'GET /readyz': async ({ response }) => {
     const reason = notReadyReason()
--- a/packages/proofs/src/known-red.ts
+++ b/packages/proofs/src/known-red.ts
@@ -18,7 +18,7 @@
   return new Map(lines.map(line => [line.split(separator)[0] ?? line, line]))
 }
 
-export default class KnownRed extends Mocha.reporters.Spec {
+export default class KnownFailuresReporter extends Mocha.reporters.Spec {
   readonly #listedLines = listedTitles()
   readonly #failedTitles: string[] = []
 
--- a/packages/proofs/src/matrix/main.ts
+++ b/packages/proofs/src/matrix/main.ts
@@ -5,14 +5,14 @@
  */
 import { faultNames } from './faults.js'
 import { runMatrix, type Cell } from './matrix.js'
-import { promises, scenarioNames, scenarios } from './scenarios.js'
+import { guarantees, scenarioNames, scenarios } from './scenarios.js'
 
 const marks = { ran: '.', not_run: 'n', unknown: 'u', nothing: '-' } as const
 
 const markOf = (cell: Cell): string => {
   if (cell.violations.length > 0) return '#'
-  const mark = marks[cell.last]
-  return cell.struck ? mark : `(${mark})`
+  const mark = marks[cell.lastOutcome]
+  return cell.stepReached ? mark : `(${mark})`
 }
 
 const printLine = (text: string): boolean => process.stdout.write(`${text}\n`)
@@ -23,7 +23,7 @@
   for (const scenario of scenarioNames) {
     const own = cells.filter(cell => cell.scenario === scenario)
     if (own.length === 0) continue
-    printLine(`\n${scenario}: ${scenarios[scenario].checks.map(each => promises[each]).join('; ')}`)
+    printLine(`\n${scenario}: ${scenarios[scenario].checks.map(each => guarantees[each]).join('; ')}`)
     printLine(`${''.padEnd(16)}${faultNames.map((_, index) => String(index + 1).padStart(4)).join('')}`)
     for (const step of scenarios[scenario].steps) {
       const row = faultNames.map(fault => own.find(cell => cell.step === step && cell.fault === fault))
@@ -39,9 +39,9 @@
   printGrid(cells)
   const violated = cells.filter(cell => cell.violations.length > 0)
   for (const { scenario: name, step: at, fault: by, violations } of violated) {
-    for (const { promise, detail } of violations) printLine(`${name} / ${at} / ${by}: ${promises[promise]}: ${detail}`)
+    for (const { guarantee: promise, detail } of violations) printLine(`${name} / ${at} / ${by}: ${guarantees[promise]}: ${detail}`)
   }
-  printLine(`\n${cells.length} cells, ${cells.filter(cell => cell.struck).length} with the fault at its step, ${violated.length} with a violated guarantee`)
+  printLine(`\n${cells.length} cells, ${cells.filter(cell => cell.stepReached).length} with the fault at its step, ${violated.length} with a violated guarantee`)
   process.exitCode = violated.length > 0 ? 1 : 0
 }
 
--- a/packages/proofs/src/matrix/matrix.ts
+++ b/packages/proofs/src/matrix/matrix.ts
@@ -3,16 +3,16 @@
  */
 import { Cluster } from './cluster.js'
 import { faultNames, faults, type FaultName } from './faults.js'
-import type { Step } from './guard.js'
-import { scenarioNames, scenarios, type PromiseLetter, type Report, type Scenario, type ScenarioName } from './scenarios.js'
+import type { Step } from './process-gate.js'
+import { scenarioNames, scenarios, type GuaranteeLetter, type ScenarioResult, type Scenario, type ScenarioName } from './scenarios.js'
 
-export interface Cell extends Report {
+export interface Cell extends ScenarioResult {
   scenario: ScenarioName
   step: Step
   fault: FaultName
   /** Whether the step was reached. If not, the fault was injected late in the run. */
-  struck: boolean
-  checks: readonly PromiseLetter[]
+  stepReached: boolean
+  checks: readonly GuaranteeLetter[]
 }
 
 export const runCell = async (scenarioName: ScenarioName, step: Step, faultName: FaultName): Promise<Cell> => {
@@ -20,21 +20,21 @@
   const fault = faults[faultName]
   const cluster = await Cluster.start(scenario.layout)
   try {
-    cluster.arm(step, () => fault.strike(cluster))
+    cluster.scheduleFault(step, () => fault.inject(cluster))
     const report = await scenario.run(cluster, fault)
-    return { ...report, scenario: scenarioName, step, fault: faultName, struck: cluster.struck, checks: scenario.checks }
+    return { ...report, scenario: scenarioName, step, fault: faultName, stepReached: cluster.stepReached, checks: scenario.checks }
   } finally {
     cluster.close()
   }
 }
 
-export interface Selection {
+export interface CellFilter {
   scenario?: string | undefined
   step?: string | undefined
   fault?: string | undefined
 }
 
-export async function * runMatrix ({ scenario, step, fault }: Selection = {}): AsyncGenerator<Cell> {
+export async function * runMatrix ({ scenario, step, fault }: CellFilter = {}): AsyncGenerator<Cell> {
   for (const scenarioName of scenarioNames.filter(each => scenario === undefined || each === scenario)) {
     const steps: readonly Step[] = scenarios[scenarioName].steps
     for (const eachStep of steps.filter(each => step === undefined || each === step)) {
--- a/packages/proofs/src/matrix/network.ts
+++ b/packages/proofs/src/matrix/network.ts
@@ -6,7 +6,7 @@
  */
 import { Duplex } from 'node:stream'
 import type { Address } from '@finchpitch/core'
-import { FrameReader, type Dial, type FrameType } from '@finchpitch/wire'
+import { FrameDecoder, type Dial, type FrameType } from '@finchpitch/wire'
 
 type Accept = (stream: Duplex) => Promise<void>
 
@@ -19,11 +19,11 @@
   /** Delay of each frame in milliseconds. */
   delayMs = 0
   /** Delivers each frame that carries a request or a part of its answer twice. */
-  duplicate = false
+  duplicateFrames = false
   /** Delivers only the first half of the next frame of an answer, then closes the connection. Resets itself. */
-  truncate = false
+  truncateNextAnswer = false
   /** Called for each frame before it is sent. */
-  spot: (type: FrameType, from: string, to: string) => void = () => {}
+  onFrame: (type: FrameType, from: string, to: string) => void = () => {}
   readonly #listeners = new Map<Address, Listener>()
   readonly #links = new Set<Link>()
   readonly #frozen = new Set<string>()
@@ -43,21 +43,21 @@
     }
   }
 
-  isFrozen (process: string): boolean {
+  isPaused (process: string): boolean {
     return this.#frozen.has(process)
   }
 
-  freeze (process: string): void {
+  pause (process: string): void {
     this.#frozen.add(process)
   }
 
-  thaw (process: string): void {
+  resume (process: string): void {
     this.#frozen.delete(process)
     for (const link of this.#links) link.flush()
   }
 
   /** Removes the listeners of a killed process and closes its connections. */
-  kill (process: string): void {
+  disconnect (process: string): void {
     for (const [address, listener] of this.#listeners) {
       if (listener.process === process) this.#listeners.delete(address)
     }
@@ -70,7 +70,7 @@
     for (const link of this.#links) link.cut()
   }
 
-  forget (link: Link): void {
+  removeLink (link: Link): void {
     this.#links.delete(link)
   }
 }
@@ -93,14 +93,14 @@
   }
 
   cut (): void {
-    this.network.forget(this)
+    this.network.removeLink(this)
     for (const endpoint of [this.client, this.server]) {
       if (!endpoint.destroyed) endpoint.destroy()
     }
   }
 
   flush (): void {
-    if (this.network.isFrozen(this.from) || this.network.isFrozen(this.to)) return
+    if (this.network.isPaused(this.from) || this.network.isPaused(this.to)) return
     for (const { to, bytes } of this.#pausedFrames.splice(0)) to.receive(bytes)
   }
 
@@ -108,15 +108,15 @@
   #transmit (from: Endpoint, bytes: Buffer): void {
     const fromClient = from === this.client
     const to = fromClient ? this.server : this.client
-    const type = new FrameReader().read(bytes)._unsafeUnwrap()[0]?.type ?? 'hello'
-    this.network.spot(type, fromClient ? this.from : this.to, fromClient ? this.to : this.from)
-    if (this.network.truncate && responseTypes.has(type)) {
-      this.network.truncate = false
+    const type = new FrameDecoder().read(bytes)._unsafeUnwrap()[0]?.type ?? 'hello'
+    this.network.onFrame(type, fromClient ? this.from : this.to, fromClient ? this.to : this.from)
+    if (this.network.truncateNextAnswer && responseTypes.has(type)) {
+      this.network.truncateNextAnswer = false
       to.receive(bytes.subarray(0, Math.ceil(bytes.length / 2)))
       setTimeout(() => this.cut(), 1)
       return
     }
-    const copies = this.network.duplicate && duplicatedTypes.has(type) ? [bytes, bytes] : [bytes]
+    const copies = this.network.duplicateFrames && duplicatedTypes.has(type) ? [bytes, bytes] : [bytes]
     for (const copy of copies) this.#schedule(to, copy)
   }
 
@@ -126,7 +126,7 @@
   }
 
   #deliver (to: Endpoint, bytes: Buffer): void {
-    if (this.network.isFrozen(this.from) || this.network.isFrozen(this.to)) this.#pausedFrames.push({ to, bytes })
+    if (this.network.isPaused(this.from) || this.network.isPaused(this.to)) this.#pausedFrames.push({ to, bytes })
     else to.receive(bytes)
   }
 }
--- a/packages/proofs/src/matrix/guard.ts
+++ b/packages/proofs/src/matrix/process-gate.ts
@@ -5,9 +5,9 @@
  * All processes of the matrix share one event loop, so none can be stopped by the operating system. The gate can pause or kill
  * a process between any two steps instead: a paused process's calls wait until it is resumed, a killed one's never return.
  */
-import type { BackendFault, CacheEvent, Engine, EngineOrder, EngineReport, GeneratedAnswer, Generation, PlainService, ServiceCall } from '@finchpitch/backend'
-import type { Answer, AnswerBody } from '@finchpitch/core'
-import type { Instance, InstanceList, ObjectStore, ResourceVersion, StoreFault, StoredObject, WatchEvent } from '@finchpitch/store'
+import type { BackendError, CacheEvent, Engine, EngineOrder, EngineReport, EngineResponse, GenerationRequest, PlainService, ServiceCall } from '@finchpitch/backend'
+import type { HttpResponse, ResponseBody } from '@finchpitch/core'
+import type { Instance, InstanceList, ObjectStore, ResourceVersion, StoreError, StoredObject, WatchEvent } from '@finchpitch/store'
 import type { Result } from 'neverthrow'
 
 /** The points at which a fault can be injected. */
@@ -17,14 +17,14 @@
   | 'frame.run' | 'frame.head' | 'frame.chunk' | 'frame.end'
 
 /** Called at each step; `label` identifies the request at the steps of a service call. */
-export type Hit = (step: Step, process: string, label?: string) => void
+export type StepListener = (step: Step, process: string, label?: string) => void
 
-export class Guard {
+export class ProcessGate {
   #state: 'running' | 'paused' | 'killed' = 'running'
   readonly #resumeCallbacks = new Set<() => void>()
   readonly #killed = new AbortController()
 
-  constructor (readonly process: string, private readonly onStep: Hit) {}
+  constructor (readonly process: string, private readonly onStep: StepListener) {}
 
   pause (): void {
     if (this.#state === 'running') this.#state = 'paused'
@@ -43,7 +43,7 @@
   }
 
   /** Aborted when the process is killed, since its connections to a backend server close then. */
-  get death (): AbortSignal {
+  get killSignal (): AbortSignal {
     return this.#killed.signal
   }
 
@@ -52,18 +52,18 @@
   }
 
   /** Resolves once the process is running; never for a killed one. */
-  async pass (): Promise<void> {
+  async waitUntilRunning (): Promise<void> {
     while (this.#state !== 'running') await new Promise<void>(resolve => this.#resumeCallbacks.add(resolve))
   }
 
   /** Makes one call, reports the steps before and after it, and waits while the process is not running. */
   async call<T> (run: () => Promise<T>, before?: Step, after?: Step, label?: string): Promise<T> {
-    await this.pass()
+    await this.waitUntilRunning()
     if (before !== undefined) this.onStep(before, this.process, label)
-    await this.pass()
+    await this.waitUntilRunning()
     const value = await run()
     if (after !== undefined) this.onStep(after, this.process, label)
-    await this.pass()
+    await this.waitUntilRunning()
     return value
   }
 }
@@ -74,73 +74,73 @@
   return name === 'config/head' ? ['head.write', 'head.written'] : []
 }
 
-export class GuardedStore implements ObjectStore {
-  constructor (private readonly gate: Guard, private readonly store: ObjectStore) {}
+export class GatedStore implements ObjectStore {
+  constructor (private readonly gate: ProcessGate, private readonly store: ObjectStore) {}
 
-  get (name: string): Promise<Result<StoredObject | undefined, StoreFault>> {
+  get (name: string): Promise<Result<StoredObject | undefined, StoreError>> {
     return this.gate.call(() => this.store.get(name))
   }
 
-  list (prefix: string): Promise<Result<string[], StoreFault>> {
+  list (prefix: string): Promise<Result<string[], StoreError>> {
     return this.gate.call(() => this.store.list(prefix))
   }
 
-  put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreFault>> {
+  put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreError>> {
     return this.gate.call(() => this.store.put(name, value, version), ...stepsOfWrite(name))
   }
 
-  remove (name: string, version: ResourceVersion): Promise<Result<void, StoreFault>> {
+  remove (name: string, version: ResourceVersion): Promise<Result<void, StoreError>> {
     return this.gate.call(() => this.store.remove(name, version))
   }
 
   async * watch (name: string, version: ResourceVersion, signal: AbortSignal): AsyncGenerator<WatchEvent> {
     for await (const event of this.store.watch(name, version, signal)) {
-      await this.gate.pass()
+      await this.gate.waitUntilRunning()
       yield event
     }
   }
 }
 
-export class GuardedList implements InstanceList {
-  constructor (private readonly gate: Guard, private readonly list: InstanceList) {}
+export class GatedInstanceList implements InstanceList {
+  constructor (private readonly gate: ProcessGate, private readonly list: InstanceList) {}
 
-  read (): Promise<Result<Instance[], StoreFault>> {
+  read (): Promise<Result<Instance[], StoreError>> {
     return this.gate.call(() => this.list.read())
   }
 }
 
-async function * gatedBody (gate: Guard, body: AnswerBody): AsyncGenerator<Uint8Array> {
+async function * gatedBody (gate: ProcessGate, body: ResponseBody): AsyncGenerator<Uint8Array> {
   for await (const chunk of body) {
-    await gate.pass()
+    await gate.waitUntilRunning()
     yield chunk
   }
 }
 
-export class GuardedService implements PlainService {
-  constructor (private readonly gate: Guard, private readonly service: PlainService) {}
+export class GatedService implements PlainService {
+  constructor (private readonly gate: ProcessGate, private readonly service: PlainService) {}
 
-  async call (call: ServiceCall): Promise<Result<Answer, BackendFault>> {
+  async call (call: ServiceCall): Promise<Result<HttpResponse, BackendError>> {
     const answer = await this.gate.call(() => this.service.call(call), 'execute', 'executed', Buffer.from(call.call.body).toString())
     return answer.map(value => ({ ...value, body: gatedBody(this.gate, value.body) }))
   }
 }
 
-export class GuardedEngine implements Engine {
-  constructor (private readonly gate: Guard, private readonly engine: Engine) {}
+export class GatedEngine implements Engine {
+  constructor (private readonly gate: ProcessGate, private readonly engine: Engine) {}
 
-  report (): Promise<Result<EngineReport, BackendFault>> {
+  report (): Promise<Result<EngineReport, BackendError>> {
     return this.gate.call(() => this.engine.report())
   }
 
-  load (order: EngineOrder & { source: string }): Promise<Result<string, BackendFault>> {
+  load (order: EngineOrder & { source: string }): Promise<Result<string, BackendError>> {
     return this.gate.call(() => this.engine.load(order), 'load', 'loaded')
   }
 
-  unload (order: EngineOrder): Promise<Result<void, BackendFault>> {
+  unload (order: EngineOrder): Promise<Result<void, BackendError>> {
     return this.gate.call(() => this.engine.unload(order), 'unload')
   }
 
-  cancel (order: { id: string, fence: number }): Promise<Result<void, BackendFault>> {
+  cancel (order: { id: string, fence: number }): Promise<Result<void, BackendError>> {
     return this.gate.call(() => this.engine.cancel(order))
   }
 
@@ -148,8 +148,8 @@
     return this.engine.cacheEvents(signal)
   }
 
-  async generate (generation: Generation): Promise<Result<GeneratedAnswer, BackendFault>> {
-    const signal = AbortSignal.any([generation.signal, this.gate.death])
+  async generate (generation: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
+    const signal = AbortSignal.any([generation.signal, this.gate.killSignal])
     const answer = await this.gate.call(() => this.engine.generate({ ...generation, signal }), 'execute', 'executed')
     return answer.map(value => ({ ...value, body: gatedBody(this.gate, value.body) }))
   }
--- a/packages/soak/src/caller.ts
+++ b/packages/soak/src/caller.ts
@@ -3,9 +3,9 @@
  */
 import { request, type Agent } from 'node:http'
 import type { FleetSystem } from '@finchpitch/stand-ins'
-import type { Dice } from './random.js'
+import type { SeededRandom } from './seeded-random.js'
 
-export interface Result {
+export interface RequestResult {
   id: string
   path: string
   /** Index of the entry that the request was sent to. */
@@ -27,7 +27,7 @@
 const sealPrefix = 'seal-'
 
 /** Sends a request to a random entry, by default to a random path. Never rejects: a request without a response has status 0. */
-export const ask = (fleet: FleetSystem, random: Dice, agents: readonly Agent[], id: string, path: string = random.pick(paths)): Promise<Result> => new Promise(resolve => {
+export const sendRequest = (fleet: FleetSystem, random: SeededRandom, agents: readonly Agent[], id: string, path: string = random.pick(paths)): Promise<RequestResult> => new Promise(resolve => {
   const entry = random.between(0, fleet.entries.length - 1)
   const isEngineRequest = path.startsWith('/stream') || path.startsWith('/resume')
   const headers = { host: 'fleet.example', 'request-id': id, 'deadline-ms': String(remainingMs), ...(isEngineRequest ? { model: `base/a${random.between(1, 10)}` } : {}) }
--- a/packages/soak/src/judge.ts
+++ b/packages/soak/src/check-results.ts
@@ -2,7 +2,7 @@
  * Checks the system's guarantees against the responses to callers and the requests and orders that reached the backend servers.
  */
 import type { BackendStandIn } from '@finchpitch/stand-ins'
-import type { Result } from './caller.js'
+import type { RequestResult } from './caller.js'
 
 export interface SoakReport {
   /** Number of requests sent. */
@@ -20,17 +20,17 @@
 }
 
 /** Number of events in a complete stream. */
-export const events = 6
+export const eventsPerStream = 6
 
 const isCompleteStream = (body: string): boolean => {
   const ids = [...body.matchAll(/^id: (\d+)$/gm)].map(match => Number(match[1]))
-  return ids.length === events && ids.every((id, index) => id === index + 1)
+  return ids.length === eventsPerStream && ids.every((id, index) => id === index + 1)
 }
 
 /** Checks the guarantees that hold at any time, also during faults. */
-export const judge = (results: readonly Result[], servers: readonly BackendStandIn[]): SoakReport => {
+export const checkResults = (results: readonly RequestResult[], servers: readonly BackendStandIn[]): SoakReport => {
   const runs = new Map<string, number>()
-  for (const server of servers) for (const id of server.ran) runs.set(id, (runs.get(id) ?? 0) + 1)
+  for (const server of servers) for (const id of server.startedIds) runs.set(id, (runs.get(id) ?? 0) + 1)
   const broken: string[] = []
   for (const { id, path, status, body, whole } of results) {
     const ran = runs.get(id) ?? 0
@@ -43,12 +43,12 @@
     if (status === 404) broken.push(`${id} ${path} was answered with 404, but its route exists`)
   }
   for (const server of servers) {
-    if (server.fell) broken.push(`${server.id} was ordered to load more adapters than it has slots`)
+    if (server.slotsExceeded) broken.push(`${server.id} was ordered to load more adapters than it has slots`)
     const fences = server.orders.map(order => order.fence)
     if (fences.some((fence, index) => index > 0 && fence < (fences[index - 1] ?? 0))) broken.push(`${server.id} received an order with a lower fence than an earlier order`)
     if (new Set(server.orders.map(order => order.holder)).size > 1) broken.push(`${server.id} received orders from more than one machine`)
   }
-  const count = (matches: (result: Result) => boolean): number => results.filter(matches).length
+  const count = (matches: (result: RequestResult) => boolean): number => results.filter(matches).length
   return {
     asked: results.length,
     answered: count(result => result.status === 200 && result.whole),
--- a/packages/soak/src/disturbances.ts
+++ b/packages/soak/src/disturbances.ts
@@ -11,9 +11,9 @@
 }
 
 /** In place of a machine: connections of any machine may have been affected. */
-export const everywhere = ''
+export const anyMachine = ''
 /** In place of a machine: the store is unavailable to all machines, or its change history was compacted. */
-export const storeAway = 'store'
+export const storeOutage = 'store'
 
 export class Disturbances {
   readonly #all: Disturbance[] = []
@@ -27,7 +27,7 @@
   }
 
   /** Whether the machine was disturbed at any time between `from` and `until`, on the monotonic clock. */
-  any (machine: string, from: number, until: number): boolean {
-    return this.#all.some(each => (each.machine === everywhere || each.machine === machine) && each.from < until && each.until > from)
+  overlaps (machine: string, from: number, until: number): boolean {
+    return this.#all.some(each => (each.machine === anyMachine || each.machine === machine) && each.from < until && each.until > from)
   }
 }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,3 +1,3 @@
 /** Soak test: real processes under load and random faults. */
 export * from './soak.js'
-export * from './judge.js'
+export * from './check-results.js'
--- a/packages/soak/src/speakers.ts
+++ b/packages/soak/src/random-servers.ts
@@ -3,27 +3,27 @@
  */
 import { pause } from '@finchpitch/core'
 import type { BackendStandIn, FleetSystem } from '@finchpitch/stand-ins'
-import type { Dice } from './random.js'
+import type { SeededRandom } from './seeded-random.js'
 
 const minPauseMs = 200
 
-export interface SpeakersOptions {
+export interface RandomServersOptions {
   fleet: FleetSystem
-  dice: Dice
+  random: SeededRandom
   /** The longest pause before the next server is picked. */
-  mostRestMs: number
+  maxPauseMs: number
   /** Changes a server's behaviour; resolves once the server is back to normal. */
-  speak: (server: BackendStandIn) => Promise<void>
+  act: (server: BackendStandIn) => Promise<void>
 }
 
 /** Picks servers for `ms`; resolves once all are back to normal. Skips a server that is still in use. */
-export const haveServersSpeak = async (ms: number, { fleet, dice: random, mostRestMs: maxPauseMs, speak: act }: SpeakersOptions): Promise<void> => {
+export const runOnRandomServers = async (ms: number, { fleet, random, maxPauseMs, act }: RandomServersOptions): Promise<void> => {
   const endsAt = performance.now() + ms
   const inUse = new Set<BackendStandIn>()
   const runs: Array<Promise<void>> = []
   while (performance.now() < endsAt) {
     await pause(random.between(minPauseMs, maxPauseMs))
-    const server = random.pick([...fleet.engines, ...fleet.plain])
+    const server = random.pick([...fleet.engines, ...fleet.plainServers])
     if (inUse.has(server)) continue
     inUse.add(server)
     runs.push(act(server).then(() => { inUse.delete(server) }))
--- a/packages/soak/src/restores.ts
+++ b/packages/soak/src/restore-scenario.ts
@@ -5,28 +5,28 @@
  */
 import { pause } from '@finchpitch/core'
 import type { FleetSystem } from '@finchpitch/stand-ins'
-import { storeAway, type Disturbances } from './disturbances.js'
-import type { Dice } from './random.js'
+import { storeOutage, type Disturbances } from './disturbances.js'
+import type { SeededRandom } from './seeded-random.js'
 
-export interface RestoresOptions {
+export interface RestoreScenarioOptions {
   fleet: FleetSystem
-  dice: Dice
+  random: SeededRandom
   disturbances: Disturbances
   log: (line: string) => void
 }
 
-export class Restores {
-  constructor (private readonly options: RestoresOptions) {}
+export class RestoreScenario {
+  constructor (private readonly options: RestoreScenarioOptions) {}
 
   /** Takes the backup in the first half of `ms`, in half of all runs; resolves once the lost writes have been repeated. */
-  async deal (ms: number): Promise<void> {
-    const { fleet: { store }, dice: random, disturbances, log } = this.options
+  async run (ms: number): Promise<void> {
+    const { fleet: { store }, random, disturbances, log } = this.options
     // Late changes are excused during an outage of the store, so half of the runs have none from a restore.
     if (!random.chance(50)) return
     await pause(random.between(0, Math.floor(ms / 2)))
     const backup = store.backup()
     await pause(random.between(300, 2000))
-    await disturbances.during(storeAway, async () => {
+    await disturbances.during(storeOutage, async () => {
       store.fault = random.pick(['busy', 'reset', 'silent'] as const)
       await pause(random.between(100, 1500))
       const lost = store.restore(backup)
--- a/packages/soak/src/changes.ts
+++ b/packages/soak/src/route-change-scenario.ts
@@ -3,9 +3,9 @@
  * killed at once, and finds changes that did not take effect in time.
  */
 import { pause } from '@finchpitch/core'
-import { RouteChanges, type FaultProxy, type FleetSystem, type Harm, type LateChange } from '@finchpitch/stand-ins'
-import { everywhere, storeAway, type Disturbances } from './disturbances.js'
-import type { Dice } from './random.js'
+import { RouteChanges, type FaultProxy, type FleetSystem, type ConnectionFault, type LateChange } from '@finchpitch/stand-ins'
+import { anyMachine, storeOutage, type Disturbances } from './disturbances.js'
+import type { SeededRandom } from './seeded-random.js'
 
 /** Time after its acknowledgement within which a change must take effect. */
 const applyMs = 2000
@@ -16,7 +16,7 @@
 /** An entry that has served a new route may return to an older routing table for this time. */
 const slackMs = 250
 const probeIntervalMs = 100
-const storeFaults: readonly Harm[] = [{ type: 'reset' }, { type: 'silence' }, { type: 'one_way' }]
+const storeFaults: readonly ConnectionFault[] = [{ type: 'reset' }, { type: 'silence' }, { type: 'one_way' }]
 
 /** A time in which the store was unreachable for one entry. */
 interface StoreOutage {
@@ -25,26 +25,26 @@
   until: number
 }
 
-export interface ChangesOptions {
+export interface RouteChangeScenarioOptions {
   fleet: FleetSystem
   /** One generator for the operator's changes, one for the faults. */
-  dice: { operator: Dice, troubles: Dice }
+  random: { operator: SeededRandom, troubles: SeededRandom }
   disturbances: Disturbances
   /** Kills and restarts all processes that no other fault has stopped. */
-  endAll: () => Promise<void>
+  killAndRestartAll: () => Promise<void>
   log: (line: string) => void
 }
 
-export class Changes {
+export class RouteChangeScenario {
   readonly #routes: RouteChanges
   readonly #storeOutages: StoreOutage[] = []
 
-  constructor (private readonly options: ChangesOptions) {
+  constructor (private readonly options: RouteChangeScenarioOptions) {
     this.#routes = new RouteChanges(options.fleet, 'changed', probeIntervalMs)
   }
 
   /** Runs for `ms`; resolves once all faults are over and all probes have been answered. */
-  async deal (ms: number): Promise<void> {
+  async run (ms: number): Promise<void> {
     const stop = new AbortController()
     const probing = this.#routes.ask(stop.signal)
     const until = performance.now() + ms
@@ -55,7 +55,7 @@
   }
 
   async #changeRoutes (until: number): Promise<void> {
-    const { operator: random } = this.options.dice
+    const { operator: random } = this.options.random
     const kills: Array<Promise<void>> = []
     while (performance.now() < until) {
       if (random.chance(60)) this.#routes.add()
@@ -67,7 +67,7 @@
   }
 
   async #injectFaults (until: number): Promise<void> {
-    const { troubles: random } = this.options.dice
+    const { troubles: random } = this.options.random
     const faults: Array<Promise<void>> = []
     while (performance.now() < until) {
       await pause(random.between(800, 3000))
@@ -78,29 +78,29 @@
 
   async #killAndRestartAll (): Promise<void> {
     this.options.log('killing all processes at once')
-    await this.options.endAll()
+    await this.options.killAndRestartAll()
   }
 
   async #blockStore (): Promise<void> {
-    const { fleet, dice: { troubles: random }, log } = this.options
+    const { fleet, random: { troubles: random }, log } = this.options
     const entry = random.between(0, fleet.entries.length - 1)
-    const proxy = fleet.storeFronts[entry] as FaultProxy
+    const proxy = fleet.storeProxies[entry] as FaultProxy
     const fault = random.pick(storeFaults)
     const ms = random.between(1000, 9000)
-    if (proxy.harm.type !== 'none') return
+    if (proxy.fault.type !== 'none') return
     log(`store unreachable for ${fleet.entries[entry]?.name} (${fault.type}) for ${ms} ms`)
     const outage = { entry, from: performance.now(), until: Infinity }
     this.#storeOutages.push(outage)
-    proxy.harm = fault
+    proxy.fault = fault
     proxy.resetAll()
     await pause(ms)
-    proxy.harm = { type: 'none' }
+    proxy.fault = { type: 'none' }
     proxy.resetAll()
     outage.until = performance.now()
   }
 
-  judge (): string[] {
-    const late = this.#routes.late(applyMs, slackMs).filter(each => !this.#isAllowed(each))
+  violations (): string[] {
+    const late = this.#routes.lateChanges(applyMs, slackMs).filter(each => !this.#isAllowed(each))
     return late.map(({ probe, fault, afterMs }) => `${probe.id} ${probe.route.path} at ${this.#nameOf(probe.entry)}: ${fault} for ${Math.round(afterMs)} ms`)
   }
 
@@ -109,11 +109,11 @@
     const { disturbances, fleet } = this.options
     const name = this.#nameOf(entry)
     if (fault === 'missing') return false
-    if (fault === 'older') return disturbances.any(name, sentAt - afterMs, sentAt)
-    if ([name, everywhere, storeAway].some(each => disturbances.any(each, sentAt - undisturbedMs, sentAt))) return true
+    if (fault === 'older') return disturbances.overlaps(name, sentAt - afterMs, sentAt)
+    if ([name, anyMachine, storeOutage].some(each => disturbances.overlaps(each, sentAt - undisturbedMs, sentAt))) return true
     const others = [...fleet.entries, ...fleet.sides].filter(machine => machine.name !== name)
     const storeUnreachable = this.#storeOutages.some(each => each.from < sentAt && each.until > sentAt - undisturbedMs)
-    const othersDisturbed = others.some(machine => disturbances.any(machine.name, sentAt - afterMs - undisturbedMs, sentAt))
+    const othersDisturbed = others.some(machine => disturbances.overlaps(machine.name, sentAt - afterMs - undisturbedMs, sentAt))
     return storeUnreachable && othersDisturbed && afterMs <= applyMs + storeOutageMs
   }
 
--- a/packages/soak/src/random.ts
+++ b/packages/soak/src/seeded-random.ts
@@ -4,7 +4,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-export class Dice {
+export class SeededRandom {
   readonly #generator
 
   constructor (seed: number) {
--- a/packages/soak/src/words.ts
+++ b/packages/soak/src/server-feedback-scenario.ts
@@ -4,10 +4,10 @@
  */
 import { pause } from '@finchpitch/core'
 import type { BackendStandIn, FleetSystem } from '@finchpitch/stand-ins'
-import type { Result } from './caller.js'
+import type { RequestResult } from './caller.js'
 import type { Disturbances } from './disturbances.js'
-import type { Dice } from './random.js'
-import { haveServersSpeak } from './speakers.js'
+import type { SeededRandom } from './seeded-random.js'
+import { runOnRandomServers } from './random-servers.js'
 
 /** Once an entry has forwarded a response that announces draining, requests sent to this entry after this time must not reach the server. */
 const drainMs = 2000
@@ -17,7 +17,7 @@
 const maxRequestsInBackoff = 2
 
 /** The start time that servers report before their first restart. */
-export const firstStart = 1
+export const initialBornAt = 1
 
 /** A period in which a server announced that it is draining; it ends with the server's restart. */
 interface DrainPeriod {
@@ -34,21 +34,21 @@
   until: number
 }
 
-export class Words {
+export class ServerFeedbackScenario {
   readonly #drainPeriods: DrainPeriod[] = []
   readonly #overloadPeriods: OverloadPeriod[] = []
   /** The start time of the most recent incarnation; raised with each restart of a server under its id. */
-  #latestBornAt = firstStart
+  #latestBornAt = initialBornAt
 
-  constructor (private readonly fleet: FleetSystem, private readonly random: Dice, private readonly log: (line: string) => void) {}
+  constructor (private readonly fleet: FleetSystem, private readonly random: SeededRandom, private readonly log: (line: string) => void) {}
 
   /** Runs for `ms`; resolves once all servers are back to normal. */
-  async deal (ms: number): Promise<void> {
-    await haveServersSpeak(ms, {
+  async run (ms: number): Promise<void> {
+    await runOnRandomServers(ms, {
       fleet: this.fleet,
-      dice: this.random,
-      mostRestMs: 1200,
-      speak: async server => await (this.random.chance(50) ? this.#drain(server) : this.#requestBackoff(server))
+      random: this.random,
+      maxPauseMs: 1200,
+      act: async server => await (this.random.chance(50) ? this.#drain(server) : this.#requestBackoff(server))
     })
   }
 
@@ -58,14 +58,14 @@
     this.log(`${server.id} is draining`)
     server.leaving = true
     // In half of the cases the store does not learn of it, and keeps listing the server as ready.
-    if (this.random.chance(50)) this.fleet.list(server, 'draining')
+    if (this.random.chance(50)) this.fleet.relist(server, 'draining')
     await pause(this.random.between(2200, 4000))
     drainPeriod.until = performance.now()
     server.leaving = false
     this.#latestBornAt += 1
     server.bornAt = this.#latestBornAt
     server.restart(server.id)
-    this.fleet.list(server)
+    this.fleet.relist(server)
   }
 
   async #requestBackoff (server: BackendStandIn): Promise<void> {
@@ -73,18 +73,18 @@
     const period = { server, backoffMs, from: performance.now(), until: Infinity }
     this.#overloadPeriods.push(period)
     this.log(`${server.id} requests a backoff of ${backoffMs} ms`)
-    server.overloadedRestMs = backoffMs
+    server.overloadedRetryAfterMs = backoffMs
     await pause(this.random.between(500, 3000))
-    server.overloadedRestMs = undefined
+    server.overloadedRetryAfterMs = undefined
     period.until = performance.now()
   }
 
   /** Returns the requests that reached draining servers, and the servers that were sent too many requests during a backoff. */
-  judge (results: readonly Result[], disturbances: Disturbances): string[] {
+  violations (results: readonly RequestResult[], disturbances: Disturbances): string[] {
     const byId = new Map(results.map(result => [result.id, result]))
     const nameOf = (entry: number): string => this.fleet.entries[entry]?.name ?? ''
     return this.fleet.entries.flatMap((_, entry) => {
-      const disturbed = (from: number, until: number): boolean => disturbances.any(nameOf(entry), from, until)
+      const disturbed = (from: number, until: number): boolean => disturbances.overlaps(nameOf(entry), from, until)
       const ownResults = results.filter(result => result.entry === entry)
       return [
         ...this.#drainPeriods.flatMap(drainPeriod => requestsWhileDraining(drainPeriod, ownResults, disturbed)),
@@ -96,7 +96,7 @@
 
 type Disturbed = (from: number, until: number) => boolean
 
-const requestsWhileDraining = ({ server, from, until }: DrainPeriod, ownResults: readonly Result[], disturbed: Disturbed): string[] => {
+const requestsWhileDraining = ({ server, from, until }: DrainPeriod, ownResults: readonly RequestResult[], disturbed: Disturbed): string[] => {
   const announcedAt = Math.min(...ownResults.filter(result => result.server === server.id && result.sentAt > from && result.endedAt < until).map(result => result.endedAt))
   const arrivals = new Map(server.arrivals.filter(({ at }) => at < until).map(({ id, at }) => [id, at]))
   return ownResults
--- a/packages/soak/src/limits.ts
+++ b/packages/soak/src/server-limit-scenario.ts
@@ -3,10 +3,10 @@
  */
 import { pause } from '@finchpitch/core'
 import type { BackendStandIn, FleetSystem } from '@finchpitch/stand-ins'
-import type { Result } from './caller.js'
+import type { RequestResult } from './caller.js'
 import type { Disturbances } from './disturbances.js'
-import type { Dice } from './random.js'
-import { haveServersSpeak } from './speakers.js'
+import type { SeededRandom } from './seeded-random.js'
+import { runOnRandomServers } from './random-servers.js'
 
 /** A limit is checked from this time after the server first advertised it. */
 const enforcementDelayMs = 3000
@@ -33,19 +33,19 @@
   until: number
 }
 
-export class Limits {
+export class ServerLimitScenario {
   readonly #limits: ServerLimit[] = []
 
-  constructor (private readonly fleet: FleetSystem, private readonly random: Dice, private readonly log: (line: string) => void) {}
+  constructor (private readonly fleet: FleetSystem, private readonly random: SeededRandom, private readonly log: (line: string) => void) {}
 
   /** Has servers advertise limits for `ms`; resolves once none does any more. */
-  async deal (ms: number): Promise<void> {
-    await haveServersSpeak(ms, { fleet: this.fleet, dice: this.random, mostRestMs: 1500, speak: async server => await this.#changeLimit(server) })
+  async run (ms: number): Promise<void> {
+    await runOnRandomServers(ms, { fleet: this.fleet, random: this.random, maxPauseMs: 1500, act: async server => await this.#changeLimit(server) })
   }
 
   /** Has one server advertise a limit, long enough for it to be enforced. Called without other faults, so that no entry is excused. */
-  async calm (): Promise<void> {
-    const server = this.random.pick([...this.fleet.engines, ...this.fleet.plain])
+  async runUndisturbed (): Promise<void> {
+    const server = this.random.pick([...this.fleet.engines, ...this.fleet.plainServers])
     await this.#advertise(server, this.random.pick(limitValues), calmMs)
     server.limitPerSecond = undefined
   }
@@ -73,7 +73,7 @@
   }
 
   /** Returns the servers that received more requests than their limits allowed. */
-  judge (results: readonly Result[], disturbances: Disturbances): string[] {
+  violations (results: readonly RequestResult[], disturbances: Disturbances): string[] {
     const byId = new Map(results.map(result => [result.id, result]))
     return this.#limits.flatMap(limit => {
       const { server, perSecond, from } = limit
@@ -85,10 +85,10 @@
   }
 
   /** Whether the request arrived while the limit applied, from an entry that knew it and was not disturbed since it was advertised. */
-  #counts ({ server, from, until }: ServerLimit, { at }: { at: number }, request: Result | undefined, results: readonly Result[], disturbances: Disturbances): boolean {
+  #counts ({ server, from, until }: ServerLimit, { at }: { at: number }, request: RequestResult | undefined, results: readonly RequestResult[], disturbances: Disturbances): boolean {
     if (request === undefined || at < from + enforcementDelayMs || at > until) return false
     const knownAt = Math.min(...results.filter(each => each.entry === request.entry && each.server === server.id && each.sentAt > from).map(each => each.endedAt))
     const name = this.fleet.entries[request.entry]?.name ?? ''
-    return at > knownAt + knownAfterMs && !disturbances.any(name, from, at)
+    return at > knownAt + knownAfterMs && !disturbances.overlaps(name, from, at)
   }
 }
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -5,15 +5,15 @@
 import { Agent } from 'node:http'
 import { pause } from '@finchpitch/core'
 import { FaultProxy, FleetSystem } from '@finchpitch/stand-ins'
-import { ask, type Result } from './caller.js'
-import { Changes } from './changes.js'
+import { sendRequest, type RequestResult } from './caller.js'
+import { RouteChangeScenario } from './route-change-scenario.js'
 import { Disturbances } from './disturbances.js'
-import { endAll, faultTable } from './faults.js'
-import { events, judge, type SoakReport } from './judge.js'
-import { Limits } from './limits.js'
-import { Dice } from './random.js'
-import { Restores } from './restores.js'
-import { Words, firstStart } from './words.js'
+import { killAndRestartAll, faultTable } from './faults.js'
+import { eventsPerStream, checkResults, type SoakReport } from './check-results.js'
+import { ServerLimitScenario } from './server-limit-scenario.js'
+import { SeededRandom } from './seeded-random.js'
+import { RestoreScenario } from './restore-scenario.js'
+import { ServerFeedbackScenario, initialBornAt } from './server-feedback-scenario.js'
 
 export interface SoakOptions {
   seed: number
@@ -42,57 +42,57 @@
 const halfSeedOffset = 500_000_000
 
 export const soak = async ({ seed, network, faultMs, log }: SoakOptions): Promise<SoakReport> => {
-  const random = new Dice(seed)
+  const random = new SeededRandom(seed)
   const proxies: FaultProxy[] = []
   const insertProxy = async (ip: string, port: number, target: number): Promise<void> => {
     const proxy = new FaultProxy()
     await proxy.start(ip, port, target)
     proxies.push(proxy)
   }
-  const fleet = new FleetSystem({ network, domains: 2, entriesPerDomain: 1, enginesPerDomain: 1, plainPerDomain: 1, places: 4, loadMs: 80, workMs: 8, events, eventMs: 6, bornAt: firstStart, between: insertProxy, storeFronts: true })
+  const fleet = new FleetSystem({ network, domains: 2, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 4, loadMs: 80, workMs: 8, events: eventsPerStream, eventMs: 6, bornAt: initialBornAt, insertProxy, storeProxies: true })
   await fleet.start()
   await pause(startMs)
-  const results: Array<Promise<Result>> = []
+  const results: Array<Promise<RequestResult>> = []
   const agents = fleet.entries.map(() => new Agent({ keepAlive: true, maxSockets: 40 }))
   const stopCallers = new AbortController()
   const callers = (async () => {
     for (let each = 0; !stopCallers.signal.aborted; each++) {
-      results.push(ask(fleet, random, agents, `soak-${seed}-${each}`))
+      results.push(sendRequest(fleet, random, agents, `soak-${seed}-${each}`))
       await pause(requestIntervalMs)
     }
   })()
   const disturbances = new Disturbances()
   // Each scenario has its own generator, so that adding one does not change the faults that a seed draws.
-  const feedback = new Words(fleet, new Dice(seed + seedOffset), log)
-  const serverLimits = new Limits(fleet, new Dice(seed + 2 * seedOffset), log)
-  const faultRandom = new Dice(seed + 3 * halfSeedOffset)
-  const routeChanges = new Changes({
+  const feedback = new ServerFeedbackScenario(fleet, new SeededRandom(seed + seedOffset), log)
+  const serverLimits = new ServerLimitScenario(fleet, new SeededRandom(seed + 2 * seedOffset), log)
+  const faultRandom = new SeededRandom(seed + 3 * halfSeedOffset)
+  const routeChanges = new RouteChangeScenario({
     fleet,
-    dice: { operator: new Dice(seed + halfSeedOffset), troubles: faultRandom },
+    random: { operator: new SeededRandom(seed + halfSeedOffset), troubles: faultRandom },
     disturbances,
-    endAll: async () => await endAll({ fleet, dice: faultRandom, proxies, disturbances }),
+    killAndRestartAll: async () => await killAndRestartAll({ fleet, random: faultRandom, proxies, disturbances }),
     log
   })
-  const restores = new Restores({ fleet, dice: new Dice(seed + 5 * halfSeedOffset), disturbances, log })
+  const restores = new RestoreScenario({ fleet, random: new SeededRandom(seed + 5 * halfSeedOffset), disturbances, log })
   const endsAt = Date.now() + faultMs
-  const scenarios = Promise.all([feedback.deal(faultMs), serverLimits.deal(faultMs), routeChanges.deal(faultMs), restores.deal(faultMs)])
+  const scenarios = Promise.all([feedback.run(faultMs), serverLimits.run(faultMs), routeChanges.run(faultMs), restores.run(faultMs)])
   const faults: Array<Promise<void>> = []
   while (Date.now() < endsAt) {
     const fault = random.pick(faultTable)
     log(`${Date.now() - endsAt + faultMs} ms ${fault.name}`)
-    faults.push(fault.deal({ fleet, dice: random, proxies, disturbances }))
+    faults.push(fault.inject({ fleet, random, proxies, disturbances }))
     await pause(random.between(100, 900))
   }
   await Promise.all([...faults, scenarios])
-  await serverLimits.calm()
+  await serverLimits.runUndisturbed()
   await pause(recoveryMs)
   stopCallers.abort()
   await callers
-  const finalResults: Result[] = []
-  for (let each = 0; each < 12; each++) finalResults.push(await ask(fleet, random, agents, `soak-${seed}-last-${each}`))
+  const finalResults: RequestResult[] = []
+  for (let each = 0; each < 12; each++) finalResults.push(await sendRequest(fleet, random, agents, `soak-${seed}-last-${each}`))
   const allResults = [...await Promise.all(results), ...finalResults]
-  const report = judge(allResults, [...fleet.engines, ...fleet.plain])
-  report.broken.push(...feedback.judge(allResults, disturbances), ...serverLimits.judge(allResults, disturbances), ...routeChanges.judge())
+  const report = checkResults(allResults, [...fleet.engines, ...fleet.plainServers])
+  report.broken.push(...feedback.violations(allResults, disturbances), ...serverLimits.violations(allResults, disturbances), ...routeChanges.violations())
   const unserved = finalResults.filter(result => result.status !== 200)
   for (const { id, path, status } of unserved) {
     const lines = fleet.entries.flatMap(entry => entry.output).filter(line => line.includes(`"${id}"`))
@@ -100,7 +100,7 @@
   }
   if (unserved.length > 0) report.broken.push(...fleet.sides.flatMap(side => side.output.slice(-reportedLines)))
   report.broken.push(...await sendCrashingRequest(fleet, random, agents, seed))
-  if (report.broken.length > 0) report.broken.push(`logs written to ${await fleet.keepLines(`soak-${seed}`)}`)
+  if (report.broken.length > 0) report.broken.push(`logs written to ${await fleet.saveLogLines(`soak-${seed}`)}`)
   for (const agent of agents) agent.destroy()
   await fleet.stop()
   await Promise.all(proxies.map(proxy => proxy.stop()))
@@ -111,14 +111,14 @@
  * Without other faults, sends a request that crashes every engine that runs it, repeatedly and to any entry. Returns a violation if it
  * crashed more engines than allowed.
  */
-const sendCrashingRequest = async (fleet: FleetSystem, random: Dice, agents: Agent[], seed: number): Promise<string[]> => {
-  for (const engine of fleet.engines) engine.fatalPath = crashPath
-  const results: Result[] = []
+const sendCrashingRequest = async (fleet: FleetSystem, random: SeededRandom, agents: Agent[], seed: number): Promise<string[]> => {
+  for (const engine of fleet.engines) engine.crashPath = crashPath
+  const results: RequestResult[] = []
   for (let each = 0; each < crashAttempts; each++) {
-    results.push(await ask(fleet, random, agents, `soak-${seed}-fatal-${each}`, crashPath))
+    results.push(await sendRequest(fleet, random, agents, `soak-${seed}-fatal-${each}`, crashPath))
     await pause(crashIntervalMs)
   }
-  const crashes = fleet.engines.flatMap(engine => engine.ran).filter(id => id.startsWith(`soak-${seed}-fatal-`)).length
+  const crashes = fleet.engines.flatMap(engine => engine.startedIds).filter(id => id.startsWith(`soak-${seed}-fatal-`)).length
   if (crashes <= maxCrashes) return []
   const lines = fleet.entries.flatMap(entry => entry.output).filter(line => /request\.(broke_off|quarantined|released)|server\.replaced/.test(line))
   return [`one request crashed ${crashes} engines; status codes of its responses: ${results.map(result => result.status).join(' ')}`, ...lines.slice(-reportedLines)]
--- a/packages/stand-ins/src/processes.ts
+++ b/packages/stand-ins/src/daemon.ts
@@ -6,7 +6,7 @@
 import { createRequire } from 'node:module'
 import { createInterface } from 'node:readline'
 import { Address, FailureDomain, ProcessId, type Serving } from '@finchpitch/core'
-import { hashOfToken, type Instance } from '@finchpitch/store'
+import { hashToken, type Instance } from '@finchpitch/store'
 
 const binary = createRequire(import.meta.url).resolve('@finchpitch/daemon/bin/finchpitchd.js')
 
@@ -33,7 +33,7 @@
       host: '127.0.0.1',
       'peer-port': 0,
       'operator-port': 0,
-      'operator-token-hash': hashOfToken(operatorToken),
+      'operator-token-hash': hashToken(operatorToken),
       ...(options.role === 'entry' ? { 'caller-port': 0, 'notice-ms': 0 } : {}),
       ...options.flags
     }
--- a/packages/stand-ins/src/demo.ts
+++ b/packages/stand-ins/src/demo.ts
@@ -1,11 +1,11 @@
 /**
  * The demo: sends requests through real entry and side processes, with stand-ins for the platform, the engines and a plain service.
  */
-import { SmallSystem } from './small-system.js'
+import { TestSystem } from './test-system.js'
 
 const print = (text: string): boolean => process.stdout.write(`${text}\n`)
 
-const requestStatement = async (system: SmallSystem): Promise<void> => {
+const requestStatement = async (system: TestSystem): Promise<void> => {
   const body = { model: 'quetzal/statement@v4', stream: true, max_tokens: 6, messages: [{ role: 'user', content: 'Why is a contribution missing?' }] }
   const reply = await system.ask('quetzal', '/v1/chat/completions', body, { headers: { 'finchpitch-class': 'desk' } })
   const text = await reply.body.text()
@@ -16,7 +16,7 @@
   if (!text.includes('quetzal/statement@v4') || !text.includes('[DONE]')) throw new Error('the response stream is incomplete: model label or [DONE] is missing')
 }
 
-const changeBooking = async (system: SmallSystem): Promise<void> => {
+const changeBooking = async (system: TestSystem): Promise<void> => {
   for (const attempt of ['first try', 'second try of the same key']) {
     const reply = await system.ask('fjordtavle', '/services/booking-ledger/slots/14-30', { customer: 'Ingrid', at: '14:30' }, { headers: { 'idempotency-key': 'booking-2041' } })
     print(`\nbooking change, ${attempt}: ${reply.statusCode}, ${String(reply.headers['finchpitch-outcome'])}\n${await reply.body.text()}`)
@@ -26,7 +26,7 @@
   if (changes.length !== 1) throw new Error('the booking did not run exactly once')
 }
 
-const system = await SmallSystem.start({ engines: 2 })
+const system = await TestSystem.start({ engines: 2 })
 for (const [name, { listening }] of system.daemons) print(`${name.padEnd(10)} ${JSON.stringify(listening)}`)
 try {
   await requestStatement(system)
--- a/packages/stand-ins/src/engine-server.ts
+++ b/packages/stand-ins/src/engine-server.ts
@@ -3,11 +3,11 @@
  * response streams with numbered events that can be resumed with `Last-Event-ID`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import type { BackendFault, GeneratedAnswer } from '@finchpitch/backend'
+import type { BackendError, EngineResponse } from '@finchpitch/backend'
 import { HttpStandIn, readBytes, readJson, sendJson } from './http-stand-in.js'
 import type { MemoryEngine } from './memory-engine.js'
 
-const faultStatuses: Record<BackendFault['code'], number> = { unreachable: 503, lost: 502, not_loaded: 404, fenced: 412, busy: 429, refused: 400 }
+const faultStatuses: Record<BackendError['code'], number> = { unreachable: 503, lost: 502, not_loaded: 404, fenced: 412, busy: 429, refused: 400 }
 
 /** Number of response streams kept for resumption, including complete ones. */
 const maxRetainedStreams = 1000
@@ -20,9 +20,9 @@
 
 export class EngineServer extends HttpStandIn {
   /** Number of next response streams to cut off. */
-  cuts = 0
+  streamsToCut = 0
   /** Number of events that a stream sends before it is cut off. */
-  cutAfter = 3
+  cutAfterEvents = 3
   readonly #streams = new Map<string, RecordedStream>()
 
   constructor (readonly engine: MemoryEngine) {
@@ -90,7 +90,7 @@
   }
 
   /** Buffers the engine's response stream independently of the client connection, so that it can be resumed. */
-  #record (id: string, answer: GeneratedAnswer): RecordedStream {
+  #record (id: string, answer: EngineResponse): RecordedStream {
     const stream: RecordedStream = { events: [], ended: false, wake: new Set() }
     const notify = (): void => {
       for (const wake of stream.wake) wake()
@@ -115,12 +115,12 @@
   }
 
   async #send (stream: RecordedStream, from: number, response: ServerResponse): Promise<void> {
-    const cut = this.cuts > 0
-    if (cut) this.cuts -= 1
+    const cut = this.streamsToCut > 0
+    if (cut) this.streamsToCut -= 1
     for (let at = from; ; at++) {
       while (at >= stream.events.length && !stream.ended) await new Promise<void>(resolve => stream.wake.add(resolve))
       const event = stream.events[at]
-      if (event === undefined || (cut && at - from >= this.cutAfter)) break
+      if (event === undefined || (cut && at - from >= this.cutAfterEvents)) break
       response.write(event)
     }
     if (cut || !isComplete(stream)) response.destroy()
@@ -134,7 +134,7 @@
     await this.#send(stream, lastEvent + 1, response)
   }
 
-  #sendFault (response: ServerResponse, { code, detail, boot }: BackendFault): void {
+  #sendFault (response: ServerResponse, { code, detail, boot }: BackendError): void {
     if (code === 'lost') response.destroy()
     else sendJson(response, faultStatuses[code], { error: detail }, boot === undefined ? {} : { 'x-engine-boot': boot })
   }
--- a/packages/stand-ins/src/fake-time.ts
+++ b/packages/stand-ins/src/fake-time.ts
@@ -24,14 +24,14 @@
   }
 
   /** Advances time by `ms` and runs the timers that become due, with the promise callbacks between them. */
-  async pass (ms: number): Promise<void> {
+  async advance (ms: number): Promise<void> {
     await this.settle()
     await this.#clock.tickAsync(ms)
     await this.settle()
   }
 
   /** Advances time by `ms` synchronously: runs the timers that become due, but no promise callbacks. */
-  jump (ms: number): void {
+  advanceSync (ms: number): void {
     this.#clock.tick(ms)
   }
 
@@ -41,7 +41,7 @@
   }
 
   /** Advances from timer to timer until `promise` has settled; throws if it does not within `maxTimerSteps`. */
-  async until<T> (promise: Promise<T>): Promise<T> {
+  async runUntilSettled<T> (promise: Promise<T>): Promise<T> {
     let settled = false
     const mark = (): void => { settled = true }
     promise.then(mark, mark)
--- a/packages/stand-ins/src/fleet/backend-server.ts
+++ b/packages/stand-ins/src/fleet/backend-server.ts
@@ -32,22 +32,22 @@
  * response. `failing`: responses have status 500. `shedding`: requests are rejected with status 503. `torn`: responses are cut off.
  * `unsealed`: responses lack the response seal. `foreign`: responses carry the id of another request.
  */
-export type BackendFault = 'none' | 'mute' | 'reset' | 'failing' | 'shedding' | 'torn' | 'unsealed' | 'foreign'
+export type InjectedFault = 'none' | 'mute' | 'reset' | 'failing' | 'shedding' | 'torn' | 'unsealed' | 'foreign'
 
 export class BackendStandIn extends HttpStandIn {
   id: string
-  fault: BackendFault = 'none'
+  fault: InjectedFault = 'none'
   /** Orders get no response and are executed after this delay. */
-  lateOrdersMs = 0
+  orderDelayMs = 0
   /** The delay applies to one in this many orders. */
-  lateEvery = 1
+  orderDelayInterval = 1
   #ordersReceived = 0
   /** All its responses announce that it is draining. */
   leaving = false
   /** The Retry-After value, in seconds, of its 503 responses; `undefined` for responses without the header. */
-  restSeconds: string | undefined
+  retryAfterSeconds: string | undefined
   /** While set, it rejects all requests with 503 and this Retry-After time. */
-  overloadedRestMs: number | undefined
+  overloadedRetryAfterMs: number | undefined
   /** The rate limit, in requests per second, that all its responses advertise. */
   limitPerSecond: number | undefined
   /** Its start time, as given in its store entry and its report. */
@@ -55,24 +55,24 @@
   /** Every request that reached it, when, and whether it was rejected. */
   readonly arrivals: Array<{ id: string, at: number, refused: boolean }> = []
   /** The ids of the requests that began to run, in order. */
-  readonly ran: string[] = []
+  readonly startedIds: string[] = []
   /** By id, the headers of each of these requests. */
   readonly headers = new Map<string, IncomingMessage['headers']>()
   /** The ids of requests whose connection closed before the response was complete. */
-  readonly left: string[] = []
+  readonly disconnectedIds: string[] = []
   readonly orders: Order[] = []
   /** Whether it was ever ordered to load more adapters than it has slots. */
-  fell = false
+  slotsExceeded = false
   adapters = new Map<string, number>()
   coming = new Map<string, number>()
   hasModel = true
   sequence = 0
   /** A request to this path crashes the server. */
-  fatalPath: string | undefined
+  crashPath: string | undefined
   /** Time between the start of such a request and the crash. */
-  fatalMs = 30
+  crashDelayMs = 30
   /** Called when the server crashes. */
-  ending: () => void = () => {}
+  onCrash: () => void = () => {}
   running = 0
 
   constructor (readonly options: BackendServerOptions) {
@@ -112,8 +112,8 @@
     const expected = request.headers['expect-instance']
     if (expected !== undefined && expected !== this.id) return sendJson(response, 421, {}, { 'Instance-Id': this.id, 'Not-Executed': '1' })
     this.#ordersReceived += 1
-    if (this.lateOrdersMs > 0 && this.#ordersReceived % this.lateEvery === 0) {
-      await pause(this.lateOrdersMs)
+    if (this.orderDelayMs > 0 && this.#ordersReceived % this.orderDelayInterval === 0) {
+      await pause(this.orderDelayMs)
       this.#execute(order)
       return
     }
@@ -135,7 +135,7 @@
     }
     this.coming.set(adapter, order.version ?? 1)
     const usedSlots = new Set([...this.adapters.keys(), ...this.coming.keys()]).size
-    if (usedSlots > (this.options.engine?.places ?? 0)) this.fell = true
+    if (usedSlots > (this.options.engine?.places ?? 0)) this.slotsExceeded = true
     setTimeout(() => {
       if (!this.coming.has(adapter)) return
       this.coming.delete(adapter)
@@ -150,15 +150,15 @@
     const refused = this.#rejectionStatus(request)
     this.arrivals.push({ id: requestId, at: performance.now(), refused: refused !== undefined })
     if (refused !== undefined) return sendJson(response, refused, {}, this.#rejectionHeaders(refused))
-    this.ran.push(requestId)
+    this.startedIds.push(requestId)
     this.headers.set(requestId, request.headers)
-    response.on('close', () => { if (!response.writableFinished) this.left.push(requestId) })
+    response.on('close', () => { if (!response.writableFinished) this.disconnectedIds.push(requestId) })
     if (this.fault === 'mute') return
     if (this.fault === 'reset') {
       response.destroy()
       return
     }
-    if ((request.url ?? '') === this.fatalPath) return await this.#crash()
+    if ((request.url ?? '') === this.crashPath) return await this.#crash()
     this.running += 1
     try {
       await pause(this.options.workMs)
@@ -170,8 +170,8 @@
 
   /** Crashes the server, with all requests that it runs. */
   async #crash (): Promise<void> {
-    await pause(this.fatalMs)
-    this.ending()
+    await pause(this.crashDelayMs)
+    this.onCrash()
   }
 
   #isMisdirected (request: IncomingMessage): boolean {
@@ -181,7 +181,7 @@
 
   #rejectionStatus (request: IncomingMessage): number | undefined {
     if (this.#isMisdirected(request)) return 421
-    if (this.fault === 'shedding' || this.overloadedRestMs !== undefined) return 503
+    if (this.fault === 'shedding' || this.overloadedRetryAfterMs !== undefined) return 503
     if (this.options.engine === undefined) return undefined
     if (!this.hasModel) return 421
     const adapter = String(request.headers.model ?? '').split('/')[1]
@@ -192,7 +192,7 @@
   }
 
   #rejectionHeaders (status: number): Record<string, string> {
-    const seconds = this.overloadedRestMs === undefined ? this.restSeconds : String(this.overloadedRestMs / 1000)
+    const seconds = this.overloadedRetryAfterMs === undefined ? this.retryAfterSeconds : String(this.overloadedRetryAfterMs / 1000)
     const retryAfter: Record<string, string> = status === 503 && seconds !== undefined ? { 'Retry-After': seconds } : {}
     return { 'Not-Executed': '1', ...retryAfter, ...(status === 421 ? { 'Instance-Id': this.id } : {}) }
   }
--- a/packages/stand-ins/src/fleet/caller.ts
+++ b/packages/stand-ins/src/fleet/caller.ts
@@ -4,7 +4,7 @@
 import { request, type Agent, type IncomingHttpHeaders } from 'node:http'
 import type { FleetSystem } from './fleet-system.js'
 
-export interface Reply {
+export interface FleetResponse {
   status: number
   headers: IncomingHttpHeaders
   body: string
@@ -12,7 +12,7 @@
   whole: boolean
 }
 
-export interface Ask {
+export interface FleetRequest {
   path: string
   id: string
   model?: string
@@ -23,12 +23,12 @@
   /** Index of the entry in the fleet's `entries`. */
   entry?: number
   /** The caller closes its connection after this time. */
-  leaveAfterMs?: number
+  disconnectAfterMs?: number
   body?: string
 }
 
 /** Sends a request. Rejects if the connection ends before a response begins. */
-export const askFleet = (fleet: FleetSystem, { path, id, model, remainingMs = 3000, headers = {}, agent, entry = 0, leaveAfterMs, body = '{"ask":1}' }: Ask): Promise<Reply> => new Promise((resolve, reject) => {
+export const sendToFleet = (fleet: FleetSystem, { path, id, model, remainingMs = 3000, headers = {}, agent, entry = 0, disconnectAfterMs: leaveAfterMs, body = '{"ask":1}' }: FleetRequest): Promise<FleetResponse> => new Promise((resolve, reject) => {
   const allHeaders = { host: 'fleet.example', 'request-id': id, 'deadline-ms': String(remainingMs), ...(model === undefined ? {} : { model }), ...headers }
   const outgoing = request({ ...fleet.callerAddress(entry), method: 'POST', path, headers: allHeaders, agent }, response => {
     let text = ''
--- a/packages/stand-ins/src/fleet/fault-proxy.ts
+++ b/packages/stand-ins/src/fleet/fault-proxy.ts
@@ -4,7 +4,7 @@
 import { connect, createServer, type Server, type Socket } from 'node:net'
 import { once } from 'node:events'
 
-export type Harm =
+export type ConnectionFault =
   | { type: 'none' }
   | { type: 'delay', ms: number }
   | { type: 'reset' }
@@ -23,7 +23,7 @@
 }
 
 export class FaultProxy {
-  harm: Harm = { type: 'none' }
+  fault: ConnectionFault = { type: 'none' }
   readonly #pairs = new Set<[Socket, Socket]>()
   #server: Server | undefined
 
@@ -50,7 +50,7 @@
   }
 
   #connect (client: Socket, upstream: Socket): void {
-    if (this.harm.type === 'reset') {
+    if (this.fault.type === 'reset') {
       resetSocket(client)
       upstream.destroy()
       return
@@ -74,7 +74,7 @@
   }
 
   #sendWithFault (send: () => void, isResponse: boolean): void {
-    const { harm: fault } = this
+    const { fault } = this
     if (fault.type === 'silence' || (fault.type === 'one_way' && isResponse)) return
     if (fault.type === 'delay') setTimeout(send, fault.ms)
     else send()
--- a/packages/stand-ins/src/fleet/fleet-system.ts
+++ b/packages/stand-ins/src/fleet/fleet-system.ts
@@ -33,8 +33,8 @@
   domains: number
   entriesPerDomain: number
   enginesPerDomain: number
-  plainPerDomain: number
-  places: number
+  plainServersPerDomain: number
+  adapterSlots: number
   loadMs: number
   workMs: number
   events: number
@@ -44,9 +44,9 @@
   bounds?: Record<string, number>
   nodeOptions?: string[]
   /** Whether each entry connects to the store through its own proxy. */
-  storeFronts?: boolean
+  storeProxies?: boolean
   /** Called for each stand-in to start a proxy in front of it, which listens at `ip:port` and forwards to `ip:target`. */
-  between?: (ip: string, port: number, target: number) => Promise<void>
+  insertProxy?: (ip: string, port: number, target: number) => Promise<void>
   /** The script that the processes run, with the role as its argument; the compiled platform adapter by default. */
   program?: string
 }
@@ -65,13 +65,13 @@
 export class FleetSystem {
   readonly store = new ObjectServer()
   readonly engines: BackendStandIn[] = []
-  readonly plain: BackendStandIn[] = []
+  readonly plainServers: BackendStandIn[] = []
   readonly entries: Machine[] = []
   readonly sides: Machine[] = []
   /** The proxies between the entries and the store, by index of the entry; empty unless enabled by the option of this name. */
-  readonly storeFronts: FaultProxy[] = []
+  readonly storeProxies: FaultProxy[] = []
   /** Routes that every routing table contains in addition to the fixed ones. */
-  moreRoutes: unknown[] = []
+  extraRoutes: unknown[] = []
   readonly #locations = new Map<BackendStandIn, { ip: string, domain: string }>()
   /** Backend servers that have crashed and not restarted yet. */
   readonly #pendingRestarts = new Map<BackendStandIn, Promise<void>>()
@@ -85,7 +85,7 @@
     await this.#listen(this.store, this.#ip(200, 1), ports.store)
     this.store.put('config', 'main', this.table(1))
     for (let domain = 0; domain < this.options.domains; domain++) await this.#startDomain(domain)
-    if (this.options.storeFronts === true) await this.#startStoreProxies()
+    if (this.options.storeProxies === true) await this.#startStoreProxies()
     for (const machine of [...this.entries, ...this.sides]) await this.startProcess(machine)
     await this.#sidesConnected()
   }
@@ -102,7 +102,7 @@
 
   /** Returns a routing table as the operator writes it to the store; `overrides` replaces top-level fields. */
   table (version: number, overrides: Record<string, unknown> = {}): unknown {
-    const { places: adapterSlots } = this.options
+    const { adapterSlots } = this.options
     const stream = { kind: 'stream', timeoutMs: 5000, targetLatencyMs: 600, priority: 1, service: engineService, sticky: true, gapAimMs: 400 }
     const plain = { timeoutMs: 1000, targetLatencyMs: 150, priority: 2, service: plainService, sticky: false, resumable: false }
     return {
@@ -112,7 +112,7 @@
         { name: 'r-resume', host: 'fleet.example', pathPrefix: '/resume/', maxAttempts: 2, resumable: true, ...stream },
         { name: 'r-once', host: 'fleet.example', pathPrefix: '/once/', kind: 'non_idempotent', maxAttempts: 1, ...plain },
         { name: 'r-again', host: 'fleet.example', pathPrefix: '/again/', kind: 'idempotent', maxAttempts: 2, ...plain },
-        ...this.moreRoutes
+        ...this.extraRoutes
       ],
       services: [
         { name: engineService, healthPath: '/health', maxConnections: 200, engine: { slots: 32, adapterSlots, weightsMb: 2000, loadsPerS: 50, models: [{ name: model, weightsMb: 1000, loadS: 0.5, adapters: 3000, adapterMb: 12 }] } },
@@ -140,7 +140,7 @@
   }
 
   /** Writes the log lines of all machines to a file, for failures that are hard to reproduce. Returns the file's path. */
-  async keepLines (name: string): Promise<string> {
+  async saveLogLines (name: string): Promise<string> {
     const path = join(tmpdir(), `fleet-${name.replaceAll(/\W+/g, '-')}-${Date.now()}.jsonl`)
     const lines = [...this.entries, ...this.sides].flatMap(machine => machine.output)
     await writeFile(path, `${lines.join('\n')}\n`)
@@ -156,7 +156,7 @@
   }
 
   /** Writes the entry of an already registered backend server again, at the same address. */
-  list (server: BackendStandIn, state = 'ready'): void {
+  relist (server: BackendStandIn, state = 'ready'): void {
     const { ip, domain } = this.#locations.get(server) ?? { ip: '', domain: '' }
     this.register(server, ip, domain, state)
   }
@@ -183,7 +183,7 @@
     this.#stopped = true
     await Promise.all([...this.entries, ...this.sides].map(machine => this.kill(machine)))
     await Promise.all(this.#pendingRestarts.values())
-    await Promise.all([this.store, ...this.storeFronts, ...this.engines, ...this.plain].map(each => each.stop()))
+    await Promise.all([this.store, ...this.storeProxies, ...this.engines, ...this.plainServers].map(each => each.stop()))
     await rm(this.#folder, { recursive: true, force: true })
   }
 
@@ -196,7 +196,7 @@
   }
 
   async #startDomain (domain: number): Promise<void> {
-    const { entriesPerDomain, enginesPerDomain, plainPerDomain, places: adapterSlots, loadMs, workMs, events, eventMs } = this.options
+    const { entriesPerDomain, enginesPerDomain, plainServersPerDomain: plainPerDomain, adapterSlots, loadMs, workMs, events, eventMs } = this.options
     const name = `d${domain}`
     for (let each = 0; each < entriesPerDomain; each++) {
       this.entries.push({ name: `entry-${name}-${each}`, ip: this.#ip(domain, 10 + each), process: undefined, output: [] })
@@ -205,7 +205,7 @@
       const ip = this.#ip(domain, 100 + each)
       const server = new BackendStandIn({ id: `engine-${name}-${each}`, engine: { model, places: adapterSlots, loadMs }, workMs, events, eventMs })
       await this.#listen(server, ip, ports.app)
-      server.ending = () => this.#handleCrash(server, ip, name)
+      server.onCrash = () => this.#handleCrash(server, ip, name)
       server.bornAt = this.options.bornAt
       this.engines.push(server)
       this.register(server, ip, name)
@@ -215,9 +215,9 @@
       const ip = this.#ip(domain, 200 + each)
       const server = new BackendStandIn({ id: `plain-${name}-${each}`, workMs, events, eventMs })
       await this.#listen(server, ip, ports.app)
-      server.ending = () => this.#handleCrash(server, ip, name)
+      server.onCrash = () => this.#handleCrash(server, ip, name)
       server.bornAt = this.options.bornAt
-      this.plain.push(server)
+      this.plainServers.push(server)
       this.register(server, ip, name)
     }
   }
@@ -238,13 +238,13 @@
     await pause(restartDelayMs)
     if (this.#stopped) return
     server.restart(`${previousId}-again`)
-    await server.start(ip, this.options.between === undefined ? ports.app : ports.app + proxiedPortOffset)
+    await server.start(ip, this.options.insertProxy === undefined ? ports.app : ports.app + proxiedPortOffset)
     this.store.remove('servers', previousId)
     this.register(server, ip, domain)
   }
 
   async #listen (server: HttpStandIn, ip: string, port: number): Promise<void> {
-    const { between: insertProxy } = this.options
+    const { insertProxy } = this.options
     await server.start(ip, insertProxy === undefined ? port : port + proxiedPortOffset)
     await insertProxy?.(ip, port, port + proxiedPortOffset)
   }
@@ -253,13 +253,13 @@
     for (const entry of this.entries) {
       const proxy = new FaultProxy()
       await proxy.start(this.#storeIp(entry), ports.store, ports.store, this.#ip(200, 1))
-      this.storeFronts.push(proxy)
+      this.storeProxies.push(proxy)
     }
   }
 
   /** The address at which a machine reaches the store: its own proxy's, or the store's. */
   #storeIp (machine: Machine): string {
-    const index = this.options.storeFronts === true ? this.entries.indexOf(machine) : -1
+    const index = this.options.storeProxies === true ? this.entries.indexOf(machine) : -1
     return this.#ip(200, 2 + index)
   }
 
--- a/packages/stand-ins/src/fleet/object-server.ts
+++ b/packages/stand-ins/src/fleet/object-server.ts
@@ -42,7 +42,7 @@
   /** The response to every call: status 503 for `busy`, a closed connection for `reset`, none for `silent`. */
   fault: 'none' | 'busy' | 'reset' | 'silent' = 'none'
   /** Delay before the response to a list call. */
-  listMs = 0
+  listDelayMs = 0
   calls = 0
   /** The number of writes; a restore does not reset it. */
   writeCount = 0
@@ -122,7 +122,7 @@
     const kind = url.pathname.split('/').at(-1) ?? ''
     if (request.method !== 'GET') return this.#send(response, 405, {})
     const watch = url.searchParams.get('watch')
-    if (watch === null) await pause(this.listMs)
+    if (watch === null) await pause(this.listDelayMs)
     if (watch === null) return this.#list(kind, url.searchParams.get('after') ?? '', response)
     await this.#watch(kind, Number(watch), Number(url.searchParams.get('waitMs')), response)
   }
--- a/packages/stand-ins/src/fleet/route-changes.ts
+++ b/packages/stand-ins/src/fleet/route-changes.ts
@@ -4,7 +4,7 @@
  */
 import { Agent } from 'node:http'
 import { pause } from '@finchpitch/core'
-import { askFleet } from './caller.js'
+import { sendToFleet } from './caller.js'
 import { plainService, type FleetSystem } from './fleet-system.js'
 
 /** The deadline that probes send; plain servers respond within some ms. */
@@ -86,7 +86,7 @@
    * Returns the probes that were sent more than `applyMs` after a change was acknowledged and handled as before it, and those that an entry
    * answered with 404 more than `slackMs` after it had first served the route.
    */
-  late (applyMs: number, slackMs: number): LateChange[] {
+  lateChanges (applyMs: number, slackMs: number): LateChange[] {
     return this.probes.flatMap(probe => this.#lateness(probe, applyMs, slackMs) ?? [])
   }
 
@@ -122,7 +122,7 @@
   #apply (): number {
     const { fleet } = this
     const plain = { host: 'fleet.example', kind: 'idempotent', timeoutMs: 1000, targetLatencyMs: 150, priority: 2, maxAttempts: 2, service: plainService, sticky: false, resumable: false }
-    fleet.moreRoutes = this.#routes.filter(route => route.droppedAt === Infinity).map(({ path }) => ({ name: `r${path}`, pathPrefix: path, ...plain }))
+    fleet.extraRoutes = this.#routes.filter(route => route.droppedAt === Infinity).map(({ path }) => ({ name: `r${path}`, pathPrefix: path, ...plain }))
     fleet.store.put('config', 'main', fleet.table(fleet.store.writeCount + 100))
     return performance.now()
   }
@@ -132,7 +132,7 @@
     const probe: RouteProbe = { id, route, entry, sentAt: performance.now(), endedAt: Infinity, status: 0 }
     this.probes.push(probe)
     try {
-      const { status } = await askFleet(this.fleet, { path: `${route.path}x`, id, entry, agent: this.#agents[entry] as Agent, remainingMs })
+      const { status } = await sendToFleet(this.fleet, { path: `${route.path}x`, id, entry, agent: this.#agents[entry] as Agent, remainingMs })
       probe.status = status
     } catch {
       // No response began, so the probe says nothing about routes.
--- a/packages/stand-ins/src/memory-engine.ts
+++ b/packages/stand-ins/src/memory-engine.ts
@@ -6,10 +6,10 @@
  */
 import { createHash } from 'node:crypto'
 import { EventEmitter, on } from 'node:events'
-import { AnswerFailure, pause, randomToken, unknown } from '@finchpitch/core'
-import { backendFault, type BackendFault, type CacheEvent, type Engine, type EngineOrder, type EngineReport, type GeneratedAnswer, type Generation } from '@finchpitch/backend'
+import { ResponseError, pause, randomToken, outcomeUnknown } from '@finchpitch/core'
+import { backendError, type BackendError, type CacheEvent, type Engine, type EngineOrder, type EngineReport, type EngineResponse, type GenerationRequest } from '@finchpitch/backend'
 import { err, ok, type Result } from 'neverthrow'
-import type { WeightStore } from './weights.js'
+import type { WeightStore } from './weight-store.js'
 
 export interface MemoryEngineOptions {
   slots: number
@@ -53,13 +53,13 @@
   /** Emits `run` when a request starts and `end` when it ends, both with the request's id, and `cache` with each cache event. */
   readonly events = new EventEmitter()
   /** Number of next requests that run, but whose responses are lost. */
-  loseAnswers = 0
+  responsesToLose = 0
   /** Delay before the response head. */
   delayMs = 0
   /** Base time per token, before the slowdown for running sequences and loaded adapters. */
   tokenMs: number
   /** Runs the base model instead of an adapter that is not loaded, as some engines do. */
-  fallsBack = false
+  fallsBackToBaseModel = false
   /** Orders, requests and reports fail as if the engine could not be reached. */
   down = false
   #boot = randomToken()
@@ -92,34 +92,34 @@
     this.#loaded.clear()
   }
 
-  async report (): Promise<Result<EngineReport, BackendFault>> {
+  async report (): Promise<Result<EngineReport, BackendError>> {
     if (this.down) return err(this.#unreachable())
     const { capacity, slots } = this.options
     return ok({ boot: this.#boot, running: this.#running, waiting: 0, capacity, slots, loaded: this.loaded, using: [...this.#loaded].filter(([, count]) => count > 0).map(([label]) => label) })
   }
 
-  async load ({ label, fence, source }: EngineOrder & { source: string }): Promise<Result<string, BackendFault>> {
+  async load ({ label, fence, source }: EngineOrder & { source: string }): Promise<Result<string, BackendError>> {
     const refusal = this.#rejection(fence)
     if (refusal !== undefined) return err(refusal)
     const boot = this.#boot
-    if (!this.#loaded.has(label) && this.#loaded.size >= this.options.slots) return err(backendFault('refused', 'no free slot', boot))
-    if (!await this.options.weights.fetch(source)) return err(backendFault('refused', `weights ${source} can't be loaded`, boot))
-    if (boot !== this.#boot) return err(backendFault('lost', 'the engine restarted', this.#boot))
+    if (!this.#loaded.has(label) && this.#loaded.size >= this.options.slots) return err(backendError('refused', 'no free slot', boot))
+    if (!await this.options.weights.fetch(source)) return err(backendError('refused', `weights ${source} can't be loaded`, boot))
+    if (boot !== this.#boot) return err(backendError('lost', 'the engine restarted', this.#boot))
     this.#loaded.set(label, this.#loaded.get(label) ?? 0)
     return ok(boot)
   }
 
-  async unload ({ label, fence }: EngineOrder): Promise<Result<void, BackendFault>> {
+  async unload ({ label, fence }: EngineOrder): Promise<Result<void, BackendError>> {
     const refusal = this.#rejection(fence)
     if (refusal !== undefined) return err(refusal)
     const useCount = this.#loaded.get(label)
-    if (useCount === undefined) return err(backendFault('not_loaded', label, this.#boot))
+    if (useCount === undefined) return err(backendError('not_loaded', label, this.#boot))
     if (useCount > 0) this.violations.push(`${label} was unloaded while ${useCount} requests used it`)
     this.#loaded.delete(label)
     return ok(undefined)
   }
 
-  async cancel ({ id, fence }: { id: string, fence: number }): Promise<Result<void, BackendFault>> {
+  async cancel ({ id, fence }: { id: string, fence: number }): Promise<Result<void, BackendError>> {
     const refusal = this.#rejection(fence)
     if (refusal !== undefined) return err(refusal)
     const active = this.#active.get(id)
@@ -137,13 +137,13 @@
     }
   }
 
-  async generate (generation: Generation): Promise<Result<GeneratedAnswer, BackendFault>> {
+  async generate (generation: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
     const refusal = this.#rejection(generation.fence)
     if (refusal !== undefined) return err(refusal)
     const { id, label, call, signal } = generation
     const boot = this.#boot
     const useCount = this.#loaded.get(label) ?? 0
-    if (!this.#loaded.has(label) && !this.fallsBack) return err(backendFault('not_loaded', label, boot))
+    if (!this.#loaded.has(label) && !this.fallsBackToBaseModel) return err(backendError('not_loaded', label, boot))
     const executedLabel = this.#loaded.has(label) ? label : baseLabel
     const body = JSON.parse(Buffer.from(call.body).toString()) as PromptBody
     this.runs.push({ id, label: executedLabel, boot, prompt: promptOf(body) })
@@ -154,23 +154,23 @@
     this.#running += 1
     const tokens = this.#tokens(executedLabel, boot, body.max_tokens ?? defaultTokens, this.#startRequest(id, executedLabel, boot, signal))
     if (this.delayMs > 0) await pause(this.delayMs)
-    if (this.loseAnswers > 0) {
-      this.loseAnswers -= 1
+    if (this.responsesToLose > 0) {
+      this.responsesToLose -= 1
       void this.#discard(tokens)
-      return err(backendFault('lost', 'the response was lost'))
+      return err(backendError('lost', 'the response was lost'))
     }
     return body.stream === true ? ok(this.#eventStream(tokens, boot)) : ok(this.#jsonResponse(tokens, boot, executedLabel))
   }
 
-  #rejection (fence: number): BackendFault | undefined {
+  #rejection (fence: number): BackendError | undefined {
     if (this.down) return this.#unreachable()
-    if (this.options.checksFences && fence < this.#fence) return backendFault('fenced', `fence ${this.#fence} is held`, this.#boot)
+    if (this.options.checksFences && fence < this.#fence) return backendError('fenced', `fence ${this.#fence} is held`, this.#boot)
     this.#fence = Math.max(this.#fence, fence)
     return undefined
   }
 
-  #unreachable (): BackendFault {
-    return backendFault('unreachable', 'the engine is down')
+  #unreachable (): BackendError {
+    return backendError('unreachable', 'the engine is down')
   }
 
   /** Registers the request in the batch; it is removed when it ends or is cancelled. */
@@ -200,7 +200,7 @@
       for (let token = 0; token < count; token++) {
         const slowdown = 1 + slowdownPerSequence * this.#running + slowdownPerAdapter * this.#loaded.size
         await pause(this.tokenMs * slowdown, signal)
-        if (boot !== this.#boot) throw new AnswerFailure(unknown('answer_cut', { detail: 'the engine restarted' }))
+        if (boot !== this.#boot) throw new ResponseError(outcomeUnknown('answer_cut', { detail: 'the engine restarted' }))
         if (signal.aborted) return
         yield `${label}:${token} `
       }
@@ -213,11 +213,11 @@
     try {
       while ((await tokens.next()).done !== true) { /* the request runs to completion, its output is discarded */ }
     } catch (error) {
-      if (!(error instanceof AnswerFailure)) throw error
+      if (!(error instanceof ResponseError)) throw error
     }
   }
 
-  #eventStream (tokens: AsyncGenerator<string>, boot: string): GeneratedAnswer {
+  #eventStream (tokens: AsyncGenerator<string>, boot: string): EngineResponse {
     const events = async function * (): AsyncGenerator<Uint8Array> {
       let id = 0
       for await (const text of tokens) yield Buffer.from(`id: ${id++}\ndata: ${JSON.stringify({ choices: [{ text }] })}\n\n`)
@@ -226,7 +226,7 @@
     return { status: 200, headers: { 'content-type': 'text/event-stream' }, boot, body: events() }
   }
 
-  #jsonResponse (tokens: AsyncGenerator<string>, boot: string, label: string): GeneratedAnswer {
+  #jsonResponse (tokens: AsyncGenerator<string>, boot: string, label: string): EngineResponse {
     const body = async function * (): AsyncGenerator<Uint8Array> {
       let text = ''
       for await (const token of tokens) text += token
--- a/packages/stand-ins/src/memory-service.ts
+++ b/packages/stand-ins/src/memory-service.ts
@@ -3,8 +3,8 @@
  * that a test sees requests that ran more than once.
  */
 import { EventEmitter } from 'node:events'
-import { pause, type Answer } from '@finchpitch/core'
-import { backendFault, type BackendFault, type PlainService, type ServiceCall } from '@finchpitch/backend'
+import { pause, type HttpResponse } from '@finchpitch/core'
+import { backendError, type BackendError, type PlainService, type ServiceCall } from '@finchpitch/backend'
 import { err, ok, type Result } from 'neverthrow'
 
 export class MemoryService implements PlainService {
@@ -18,10 +18,10 @@
   /** Emits `change` after each change. */
   readonly events = new EventEmitter()
   /** Number of next calls that run, but whose responses are lost. */
-  loseAnswers = 0
+  responsesToLose = 0
 
-  async call ({ call }: ServiceCall): Promise<Result<Answer, BackendFault>> {
-    if (this.down) return err(backendFault('unreachable', 'the service is down'))
+  async call ({ call }: ServiceCall): Promise<Result<HttpResponse, BackendError>> {
+    if (this.down) return err(backendError('unreachable', 'the service is down'))
     const text = Buffer.from(call.body).toString()
     if (call.method !== 'GET') {
       this.changes.push(text)
@@ -31,9 +31,9 @@
     await this.held
     if (this.delayMs > 0) await pause(this.delayMs)
     this.running -= 1
-    if (this.loseAnswers > 0) {
-      this.loseAnswers -= 1
-      return err(backendFault('lost', 'the response was lost'))
+    if (this.responsesToLose > 0) {
+      this.responsesToLose -= 1
+      return err(backendError('lost', 'the response was lost'))
     }
     const body = JSON.stringify({ path: call.path, booked: text, changes: this.changes.length })
     return ok({ status: 200, headers: { 'content-type': 'application/json' }, body: inTwoChunks(body) })
--- a/packages/stand-ins/src/memory-store.ts
+++ b/packages/stand-ins/src/memory-store.ts
@@ -6,7 +6,7 @@
  * system under test.
  */
 import { pause } from '@finchpitch/core'
-import { storeFault, type ObjectStore, type ResourceVersion, type StoreFault, type StoredObject, type WatchEvent } from '@finchpitch/store'
+import { storeError, type ObjectStore, type ResourceVersion, type StoreError, type StoredObject, type WatchEvent } from '@finchpitch/store'
 import { err, ok, type Result } from 'neverthrow'
 
 const maxRetainedEvents = 100
@@ -19,11 +19,11 @@
   /** Delay added to every call except watches. */
   delayMs = 0
   /** Number of next calls of `put` that take effect, but whose responses are lost. */
-  loseAnswers = 0
+  responsesToLose = 0
   /** Watches stay open but receive no events. */
-  deafWatches = false
+  silentWatches = false
   /** Each event is delivered twice. */
-  repeatEvents = false
+  duplicateEvents = false
   calls = { reads: 0, writes: 0, watches: 0 }
   readonly writes: StoredObject[] = []
   readonly #objects = new Map<string, StoredObject>()
@@ -31,36 +31,36 @@
   readonly #listeners = new Map<string, Set<Listener>>()
   #version = 0
 
-  async get (name: string): Promise<Result<StoredObject | undefined, StoreFault>> {
+  async get (name: string): Promise<Result<StoredObject | undefined, StoreError>> {
     this.calls.reads += 1
     const fault = await this.#delayOrFail()
     return fault === undefined ? ok(structuredClone(this.#objects.get(name))) : err(fault)
   }
 
-  async list (prefix: string): Promise<Result<string[], StoreFault>> {
+  async list (prefix: string): Promise<Result<string[], StoreError>> {
     this.calls.reads += 1
     const fault = await this.#delayOrFail()
     return fault === undefined ? ok([...this.#objects.keys()].filter(name => name.startsWith(prefix)).sort()) : err(fault)
   }
 
-  async put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreFault>> {
+  async put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreError>> {
     this.calls.writes += 1
     const fault = await this.#delayOrFail()
     if (fault !== undefined) return err(fault)
     const current = this.#objects.get(name)
-    if ((current?.version ?? 'absent') !== version) return err(storeFault('conflict'))
+    if ((current?.version ?? 'absent') !== version) return err(storeError('conflict'))
     const object = this.#write(name, value)
     if (!this.#losesResponse()) return ok(structuredClone(object))
-    return err(storeFault('ambiguous', 'the response to the write was lost'))
+    return err(storeError('ambiguous', 'the response to the write was lost'))
   }
 
-  async remove (name: string, version: ResourceVersion): Promise<Result<void, StoreFault>> {
+  async remove (name: string, version: ResourceVersion): Promise<Result<void, StoreError>> {
     this.calls.writes += 1
     const fault = await this.#delayOrFail()
     if (fault !== undefined) return err(fault)
     const current = this.#objects.get(name)
     if (current === undefined) return ok(undefined)
-    if (current.version !== version) return err(storeFault('conflict'))
+    if (current.version !== version) return err(storeError('conflict'))
     this.#objects.delete(name)
     this.#emit({ type: 'deleted', name, version: String(++this.#version) })
     return ok(undefined)
@@ -68,10 +68,10 @@
 
   async * watch (name: string, version: ResourceVersion, signal: AbortSignal): AsyncGenerator<WatchEvent> {
     this.calls.watches += 1
-    if (this.down) return yield { type: 'ended', fault: storeFault('unavailable') }
+    if (this.down) return yield { type: 'ended', fault: storeError('unavailable') }
     const oldest = this.#events[0]
     if (oldest !== undefined && Number(version) + 1 < versionOf(oldest) && this.#events.length >= maxRetainedEvents) {
-      return yield { type: 'ended', fault: storeFault('too_old') }
+      return yield { type: 'ended', fault: storeError('too_old') }
     }
     const pending = this.#events.filter(event => nameOf(event) === name && versionOf(event) > Number(version))
     let wake = (): void => {}
@@ -89,7 +89,7 @@
         if (event !== undefined) yield event
         else await new Promise<void>(resolve => { wake = resolve })
       }
-      yield { type: 'ended', fault: storeFault('unavailable', 'the watch was closed') }
+      yield { type: 'ended', fault: storeError('unavailable', 'the watch was closed') }
     } finally {
       listeners.delete(listener)
       signal.removeEventListener('abort', stop)
@@ -97,20 +97,20 @@
   }
 
   /** Ends every watch, as a restart of the object API does. */
-  cutWatches (): void {
+  closeWatches (): void {
     for (const listeners of this.#listeners.values()) {
-      for (const listener of listeners) listener({ type: 'ended', fault: storeFault('unavailable', 'the object API restarted') })
+      for (const listener of listeners) listener({ type: 'ended', fault: storeError('unavailable', 'the object API restarted') })
     }
   }
 
-  async #delayOrFail (): Promise<StoreFault | undefined> {
+  async #delayOrFail (): Promise<StoreError | undefined> {
     if (this.delayMs > 0) await pause(this.delayMs)
-    return this.down ? storeFault('unavailable', 'the store is down') : undefined
+    return this.down ? storeError('unavailable', 'the store is down') : undefined
   }
 
   #losesResponse (): boolean {
-    if (this.loseAnswers === 0) return false
-    this.loseAnswers -= 1
+    if (this.responsesToLose === 0) return false
+    this.responsesToLose -= 1
     return true
   }
 
@@ -125,10 +125,10 @@
   #emit (event: WatchEvent): void {
     this.#events.push(event)
     if (this.#events.length > maxRetainedEvents) this.#events.shift()
-    if (this.deafWatches) return
+    if (this.silentWatches) return
     for (const listener of this.#listeners.get(nameOf(event)) ?? []) {
       listener(event)
-      if (this.repeatEvents) listener(event)
+      if (this.duplicateEvents) listener(event)
     }
   }
 }
--- a/packages/stand-ins/src/platform-server.ts
+++ b/packages/stand-ins/src/platform-server.ts
@@ -31,9 +31,9 @@
   readonly store = new MemoryStore()
   instances: Instance[] = []
   /** Number of requests for the instance list. */
-  lists = 0
+  listRequests = 0
   /** Requests for the instance list get status 503. */
-  listDown = false
+  listUnavailable = false
 
   protected override async handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://platform')
@@ -48,8 +48,8 @@
   }
 
   #listInstances (request: IncomingMessage, response: ServerResponse): void {
-    this.lists += 1
-    if (this.listDown) return sendJson(response, 503, {})
+    this.listRequests += 1
+    if (this.listUnavailable) return sendJson(response, 503, {})
     const body = { items: this.instances }
     const tag = `"${createHash('sha256').update(JSON.stringify(body)).digest('base64url')}"`
     if (request.headers['if-none-match'] === tag) return sendJson(response, 304, undefined)
--- a/packages/stand-ins/src/small-system.ts
+++ b/packages/stand-ins/src/test-system.ts
@@ -4,23 +4,23 @@
  */
 import { ModelName, Revision, ServiceName, type Serving } from '@finchpitch/core'
 import { OperatorClient } from '@finchpitch/operators'
-import { hashOfToken } from '@finchpitch/store'
+import { hashToken } from '@finchpitch/store'
 import { request, type Dispatcher } from 'undici'
 import { EngineServer } from './engine-server.js'
 import { MemoryEngine } from './memory-engine.js'
 import { MemoryService } from './memory-service.js'
 import { PlatformServer } from './platform-server.js'
-import { Daemon, operatorToken, type DaemonOptions } from './processes.js'
+import { Daemon, operatorToken, type DaemonOptions } from './daemon.js'
 import { ServiceServer } from './service-server.js'
-import { WeightStore } from './weights.js'
+import { WeightStore } from './weight-store.js'
 
 export const callerTokens = { fjordtavle: 'fjord-token', quetzal: 'quetzal-token' }
 
 /** Two teams with one adapter each, one base model, and one plain service that only one of the teams may use. */
-export const smallConfiguration = {
+export const testConfiguration = {
   teams: [
-    { name: 'fjordtavle', tokens: [hashOfToken(callerTokens.fjordtavle)] },
-    { name: 'quetzal', tokens: [hashOfToken(callerTokens.quetzal)] }
+    { name: 'fjordtavle', tokens: [hashToken(callerTokens.fjordtavle)] },
+    { name: 'quetzal', tokens: [hashToken(callerTokens.quetzal)] }
   ],
   models: [{ name: 'base-7b' }],
   services: [{ name: 'booking-ledger', teams: ['fjordtavle'], onStoreOutage: 'ticket' }],
@@ -37,15 +37,15 @@
   ]
 }
 
-export interface SmallSystemOptions {
+export interface TestSystemOptions {
   entries?: number
   engines?: number
   entryFlags?: Record<string, string | number>
 }
 
-export class SmallSystem {
+export class TestSystem {
   readonly platform = new PlatformServer()
-  readonly weights = new WeightStore({ loadsPerSecond: 50, fullSpeedPlaces: 6, loadMs: 50 })
+  readonly weights = new WeightStore({ loadsPerSecond: 50, maxFullSpeedLoads: 6, loadMs: 50 })
   readonly engines: EngineServer[] = []
   readonly ledger = new ServiceServer(new MemoryService())
   readonly daemons = new Map<string, Daemon>()
@@ -53,8 +53,8 @@
   private constructor () {}
 
   /** Starts the stand-ins and the processes, and applies the configuration. */
-  static async start ({ entries = 1, engines = 1, entryFlags = {} }: SmallSystemOptions = {}): Promise<SmallSystem> {
-    const system = new SmallSystem()
+  static async start ({ entries = 1, engines = 1, entryFlags = {} }: TestSystemOptions = {}): Promise<TestSystem> {
+    const system = new TestSystem()
     const { weights } = system
     const platform = await system.platform.start()
     const ledger = await system.ledger.start()
@@ -72,7 +72,7 @@
     // Entries read the instance list when they start, so the side processes must have been added to it before.
     await Promise.all(Array.from({ length: entries }, (_, index) =>
       system.#add({ role: 'entry', process: `entry-${index}`, domain: `oslo-${index}`, platform, flags: entryFlags })))
-    await system.apply(smallConfiguration, 0)
+    await system.apply(testConfiguration, 0)
     return system
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** Sends a request of a team to an entry. */
-  async ask (team: keyof typeof callerTokens, path: string, body: unknown, { entry = 'entry-0', headers = {}, signal }: AskOptions = {}): Promise<Dispatcher.ResponseData> {
+  async ask (team: keyof typeof callerTokens, path: string, body: unknown, { entry = 'entry-0', headers = {}, signal }: RequestOptions = {}): Promise<Dispatcher.ResponseData> {
     return await request(`${this.daemon(entry).url('callers')}${path}`, {
       method: 'POST',
       headers: { authorization: `Bearer ${callerTokens[team]}`, 'content-type': 'application/json', ...headers },
@@ -117,7 +117,7 @@
   }
 }
 
-export interface AskOptions {
+export interface RequestOptions {
   entry?: string
   headers?: Record<string, string>
   signal?: AbortSignal
--- a/packages/stand-ins/src/weights.ts
+++ b/packages/stand-ins/src/weight-store.ts
@@ -8,7 +8,7 @@
 
 export interface WeightStoreOptions {
   loadsPerSecond: number
-  fullSpeedPlaces: number
+  maxFullSpeedLoads: number
   loadMs: number
 }
 
@@ -23,7 +23,7 @@
 
   /** Loads weights. Resolves to false if `source` is marked as broken. */
   async fetch (source: string): Promise<boolean> {
-    const { loadsPerSecond, fullSpeedPlaces, loadMs } = this.options
+    const { loadsPerSecond, maxFullSpeedLoads: fullSpeedPlaces, loadMs } = this.options
     this.loads += 1
     const now = Date.now()
     const start = Math.max(now, this.#nextStartAt)
--- a/packages/store/src/apply.ts
+++ b/packages/store/src/apply.ts
@@ -7,9 +7,9 @@
  */
 import { Revision, backoff, pause, randomToken, type Configuration, type Random } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
-import { split, type Change, type Head, type Shards } from './catalog.js'
-import { StoreSource, headName, shardName, type VersionedHead } from './configuration-store.js'
-import { storeFault, type ObjectStore, type StoreFault } from './object-store.js'
+import { splitIntoShards, type Change, type Head, type Shards } from './catalog.js'
+import { StoreSource, headName, shardName, type VersionedHead } from './configuration-source.js'
+import { storeError, type ObjectStore, type StoreError } from './object-store.js'
 
 const maxWriteAttempts = 5
 const maxConcurrentWrites = 8
@@ -33,7 +33,7 @@
 const isUnchanged = (head: Head, shards: Shards): boolean =>
   head.common === shards.common && JSON.stringify(head.adapters) === JSON.stringify(shards.adapters)
 
-const writeShard = async (store: ObjectStore, hash: string, text: string, random: Random): Promise<Result<void, StoreFault>> => {
+const writeShard = async (store: ObjectStore, hash: string, text: string, random: Random): Promise<Result<void, StoreError>> => {
   for (let failures = 0; ; failures++) {
     const written = await store.put(shardName(hash), text, 'absent')
     // A shard is named after the hash of its content, so an existing object of that name has the same content.
@@ -43,7 +43,7 @@
   }
 }
 
-const writeShards = async (store: ObjectStore, shards: Shards, known: Set<string>, random: Random): Promise<Result<void, StoreFault>> => {
+const writeShards = async (store: ObjectStore, shards: Shards, known: Set<string>, random: Random): Promise<Result<void, StoreError>> => {
   const missing = [...shards.texts].filter(([hash]) => !known.has(hash))
   for (let at = 0; at < missing.length; at += maxConcurrentWrites) {
     const batch = missing.slice(at, at + maxConcurrentWrites)
@@ -65,11 +65,11 @@
   return { kind: committed.applyId === change.applyId ? 'applied' : 'conflict', head }
 }
 
-const ambiguousOutcome = (change: Change): StoreFault =>
-  storeFault('ambiguous', `change ${change.applyId} may have been accepted: see the history before applying again`)
+const ambiguousOutcome = (change: Change): StoreError =>
+  storeError('ambiguous', `change ${change.applyId} may have been accepted: see the history before applying again`)
 
 /** Reads the head, with retries, to find out which change has the revision of `change`. */
-const resolveOutcome = async (source: StoreSource, change: Change, random: Random): Promise<Result<ApplyOutcome | 'pending', StoreFault>> => {
+const resolveOutcome = async (source: StoreSource, change: Change, random: Random): Promise<Result<ApplyOutcome | 'pending', StoreError>> => {
   for (let failures = 0; failures < maxWriteAttempts; failures++) {
     const found = await source.head()
     if (found.isOk()) {
@@ -81,7 +81,7 @@
   return err(ambiguousOutcome(change))
 }
 
-const writeHead = async (source: StoreSource, base: VersionedHead | undefined, head: Head, change: Change, random: Random): Promise<Result<ApplyOutcome, StoreFault>> => {
+const writeHead = async (source: StoreSource, base: VersionedHead | undefined, head: Head, change: Change, random: Random): Promise<Result<ApplyOutcome, StoreError>> => {
   let mayBeCommitted = false
   for (let failures = 0; failures < maxWriteAttempts; failures++) {
     const written = await source.store.put(headName, head, base?.version ?? 'absent')
@@ -94,15 +94,15 @@
     if (resolved.value !== 'pending') return ok(resolved.value)
     await pause(backoff(failures, random))
   }
-  return err(mayBeCommitted ? ambiguousOutcome(change) : storeFault('unavailable', 'the head was not written'))
+  return err(mayBeCommitted ? ambiguousOutcome(change) : storeError('unavailable', 'the head was not written'))
 }
 
-export const apply = async (store: ObjectStore, request: ApplyRequest, random: Random): Promise<Result<ApplyOutcome, StoreFault>> => {
+export const applyConfiguration = async (store: ObjectStore, request: ApplyRequest, random: Random): Promise<Result<ApplyOutcome, StoreError>> => {
   const source = new StoreSource(store)
   const current = await source.versionedHead()
   if (current.isErr()) return err(current.error)
   const base = current.value
-  const shards = split(request.configuration)
+  const shards = splitIntoShards(request.configuration)
   if (base !== undefined && base.head.revision !== request.base) return ok({ kind: 'conflict', head: base.head })
   if (base !== undefined && isUnchanged(base.head, shards)) return ok({ kind: 'unchanged', head: base.head })
   const known = new Set(base === undefined ? [] : [base.head.common, ...base.head.adapters])
