--- a/packages/store/src/catalog.ts
+++ b/packages/store/src/catalog.ts
@@ -41,12 +41,12 @@
 const Common = z.object({ teams: z.array(Team), models: z.array(Model), services: z.array(Service) })
 type Common = z.infer<typeof Common>
 
-export const hashOf = (text: string): string =>
+export const contentHash = (text: string): string =>
   createHash('sha256').update(text).digest('base64url').slice(0, hashLength)
 
-export const hashOfToken = (token: string): string => createHash('sha256').update(token).digest('hex')
+export const hashToken = (token: string): string => createHash('sha256').update(token).digest('hex')
 
-export const shardOf = (id: string, shards: number): number => murmurhash.v3(id) % shards
+export const shardIndexOf = (id: string, shards: number): number => murmurhash.v3(id) % shards
 
 export interface Shards {
   common: string
@@ -62,22 +62,22 @@
   return count
 }
 
-export const split = (configuration: Configuration): Shards => {
+export const splitIntoShards = (configuration: Configuration): Shards => {
   const texts = new Map<string, string>()
   const addShard = (value: unknown): string => {
     const text = JSON.stringify(value)
-    const hash = hashOf(text)
+    const hash = contentHash(text)
     texts.set(hash, text)
     return hash
   }
   const { teams, models, services } = configuration
   const groups = Array.from({ length: shardCount(configuration.adapters.length) }, (): Adapter[] => [])
-  for (const adapter of configuration.adapters) groups[shardOf(adapterId(adapter), groups.length)]?.push(adapter)
+  for (const adapter of configuration.adapters) groups[shardIndexOf(adapterId(adapter), groups.length)]?.push(adapter)
   return { common: addShard({ teams, models, services }), adapters: groups.map(addShard), texts }
 }
 
 /** Which shards a process holds: entries need the adapter shards to resolve adapters, side processes don't. */
-export type Scope = 'all' | 'common'
+export type CatalogScope = 'all' | 'common'
 
 export class Catalog {
   #head: Head | undefined
@@ -87,7 +87,7 @@
   readonly #decoded = new LRUCache<string, Map<string, Adapter>>({ max: maxDecodedShards })
   readonly #listeners = new Set<(revision: Revision) => void>()
 
-  constructor (readonly scope: Scope) {}
+  constructor (readonly scope: CatalogScope) {}
 
   get revision (): Revision {
     return this.#head?.revision ?? noRevision
@@ -103,19 +103,19 @@
   }
 
   /** Calls `listener` after each update. Returns a function that removes the listener. */
-  onMove (listener: (revision: Revision) => void): () => void {
+  onUpdate (listener: (revision: Revision) => void): () => void {
     this.#listeners.add(listener)
     return () => this.#listeners.delete(listener)
   }
 
   /** Hashes of the shards of `head` that this process needs. */
-  wanted (head: Head): string[] {
+  requiredShards (head: Head): string[] {
     return this.scope === 'all' ? [head.common, ...head.adapters] : [head.common]
   }
 
   /** Hashes of the needed shards of `head` that are not held yet. */
-  lacking (head: Head): string[] {
-    return [...new Set(this.wanted(head))].filter(hash => !this.#texts.has(hash))
+  missingShards (head: Head): string[] {
+    return [...new Set(this.requiredShards(head))].filter(hash => !this.#texts.has(hash))
   }
 
   /** The JSON text of a shard, if it is held. */
@@ -127,12 +127,12 @@
    * Replaces the configuration by that of `head` if its revision is higher and every needed shard is present and matches
    * its hash. Otherwise changes nothing and returns false.
    */
-  move (head: Head, fetched: Map<string, string>): boolean {
+  update (head: Head, fetched: Map<string, string>): boolean {
     if (head.revision <= this.revision) return false
     const texts = new Map<string, string>()
-    for (const hash of this.wanted(head)) {
+    for (const hash of this.requiredShards(head)) {
       const text = this.#texts.get(hash) ?? fetched.get(hash)
-      if (text === undefined || hashOf(text) !== hash) return false
+      if (text === undefined || contentHash(text) !== hash) return false
       texts.set(hash, text)
     }
     this.#common = Common.parse(JSON.parse(texts.get(head.common) ?? ''))
@@ -145,7 +145,7 @@
 
   /** Tokens are looked up by hash, so that the timing of the lookup reveals nothing about the token. */
   teamOfToken (token: string): Team | undefined {
-    return this.#teamsByToken.get(hashOfToken(token))
+    return this.#teamsByToken.get(hashToken(token))
   }
 
   team (name: string): Team | undefined {
@@ -163,7 +163,7 @@
   adapter (team: string, name: string): Adapter | undefined {
     if (this.#head === undefined) return undefined
     const id = adapterId({ team, name })
-    const hash = this.#head.adapters[shardOf(id, this.#head.adapters.length)]
+    const hash = this.#head.adapters[shardIndexOf(id, this.#head.adapters.length)]
     return hash === undefined ? undefined : this.#shard(hash).get(id)
   }
 
--- a/packages/store/src/claims.ts
+++ b/packages/store/src/claims.ts
@@ -13,19 +13,19 @@
 import { Binding, backoff, pause, type Random, type RequestKey, type TeamName } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
-import { storeFault, type ObjectStore, type ResourceVersion, type StoreFault } from './object-store.js'
+import { storeError, type ObjectStore, type ResourceVersion, type StoreError } from './object-store.js'
 
 export interface ClaimsOptions {
   store: ObjectStore
   random: Random
   /** Number of bucket objects that claims are spread over; must be the same in every process. */
-  buckets: number
+  bucketCount: number
   /** How long a claim is retained, by the clock of the writing process; far longer than any caller retries. */
   keptMs: number
 }
 
-export const defaultBuckets = 256
-export const defaultKeptMs = 24 * 60 * 60 * 1000
+export const defaultBucketCount = 256
+export const defaultClaimRetentionMs = 24 * 60 * 60 * 1000
 
 const maxWriteAttempts = 6
 const idBytes = 18
@@ -44,7 +44,7 @@
   /** Nonce of the claim that may be replaced; `undefined` if the key must not be claimed yet. */
   from: string | undefined
   binding: Binding
-  settle: (result: Result<Binding, StoreFault>) => void
+  settle: (result: Result<Binding, StoreError>) => void
 }
 
 interface Snapshot {
@@ -62,7 +62,7 @@
   constructor (private readonly options: ClaimsOptions) {}
 
   /** Binds an unclaimed key. Returns the current binding, which may be an earlier one. */
-  bind (id: string, binding: Binding): Promise<Result<Binding, StoreFault>> {
+  bind (id: string, binding: Binding): Promise<Result<Binding, StoreError>> {
     return this.#enqueue(id, undefined, binding)
   }
 
@@ -70,12 +70,12 @@
    * Replaces the binding with nonce `from`, whose incarnation must have permanently refused the key. Returns the current
    * binding, which is another one if the binding had been replaced already.
    */
-  rebind (id: string, from: string, binding: Binding): Promise<Result<Binding, StoreFault>> {
+  rebind (id: string, from: string, binding: Binding): Promise<Result<Binding, StoreError>> {
     return this.#enqueue(id, from, binding)
   }
 
   /** The current binding, read from the store. */
-  async read (id: string): Promise<Result<Binding | undefined, StoreFault>> {
+  async read (id: string): Promise<Result<Binding | undefined, StoreError>> {
     const snapshot = await this.#read(this.#bucketOf(id))
     return snapshot.map(({ claims }) => {
       const claim = claims[id]
@@ -84,10 +84,10 @@
   }
 
   #bucketOf (id: string): number {
-    return Buffer.from(id, 'base64url').readUInt32BE() % this.options.buckets
+    return Buffer.from(id, 'base64url').readUInt32BE() % this.options.bucketCount
   }
 
-  #enqueue (id: string, from: string | undefined, binding: Binding): Promise<Result<Binding, StoreFault>> {
+  #enqueue (id: string, from: string | undefined, binding: Binding): Promise<Result<Binding, StoreError>> {
     const bucket = this.#bucketOf(id)
     return new Promise(resolve => {
       const pending = this.#pending.get(bucket) ?? []
@@ -104,7 +104,7 @@
       for (const request of requests) {
         const claim = written.isOk() ? written.value[request.id] : undefined
         if (claim !== undefined) request.settle(ok(toBinding(claim)))
-        else request.settle(err(written.isErr() ? written.error : storeFault('refused', 'the claim was not written')))
+        else request.settle(err(written.isErr() ? written.error : storeError('refused', 'the claim was not written')))
       }
     }
     this.#writing.delete(bucket)
@@ -118,8 +118,8 @@
   }
 
   /** Writes, with retries, until the key of each request has a claim in the store. Returns the bucket as stored. */
-  async #write (bucket: number, requests: ClaimRequest[]): Promise<Result<Bucket, StoreFault>> {
-    let lastError = storeFault('unavailable')
+  async #write (bucket: number, requests: ClaimRequest[]): Promise<Result<Bucket, StoreError>> {
+    let lastError = storeError('unavailable')
     for (let failures = 0; failures < maxWriteAttempts; failures++) {
       if (failures > 0) await pause(backoff(failures - 1, this.options.random))
       const cached = this.#snapshots.get(bucket)
@@ -147,12 +147,12 @@
     return err(lastError)
   }
 
-  async #read (bucket: number): Promise<Result<Snapshot, StoreFault>> {
+  async #read (bucket: number): Promise<Result<Snapshot, StoreError>> {
     const object = await this.options.store.get(bucketName(bucket))
-    return object.andThen((found): Result<Snapshot, StoreFault> => {
+    return object.andThen((found): Result<Snapshot, StoreError> => {
       if (found === undefined) return ok({ claims: {}, version: 'absent' })
       const claims = Bucket.safeParse(found.value)
-      if (!claims.success) return err(storeFault('refused', `bucket ${bucket} is not valid`))
+      if (!claims.success) return err(storeError('refused', `bucket ${bucket} is not valid`))
       return ok({ claims: claims.data, version: found.version })
     })
   }
--- a/packages/store/src/configuration-store.ts
+++ b/packages/store/src/configuration-source.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from 'neverthrow'
 import { Head, type Catalog } from './catalog.js'
-import { storeFault, type ObjectStore, type ResourceVersion, type StoreFault } from './object-store.js'
+import { storeError, type ObjectStore, type ResourceVersion, type StoreError } from './object-store.js'
 
 export const headName = 'config/head'
 export const shardName = (hash: string): string => `config/shard/${hash}`
@@ -11,8 +11,8 @@
 const maxConcurrentReads = 16
 
 export interface ConfigurationSource {
-  head: () => Promise<Result<Head | undefined, StoreFault>>
-  shards: (hashes: string[]) => Promise<Result<Map<string, string>, StoreFault>>
+  head: () => Promise<Result<Head | undefined, StoreError>>
+  shards: (hashes: string[]) => Promise<Result<Map<string, string>, StoreError>>
 }
 
 export interface VersionedHead {
@@ -23,20 +23,20 @@
 export class StoreSource implements ConfigurationSource {
   constructor (readonly store: ObjectStore) {}
 
-  async head (): Promise<Result<Head | undefined, StoreFault>> {
+  async head (): Promise<Result<Head | undefined, StoreError>> {
     return (await this.versionedHead()).map(found => found?.head)
   }
 
-  async versionedHead (): Promise<Result<VersionedHead | undefined, StoreFault>> {
+  async versionedHead (): Promise<Result<VersionedHead | undefined, StoreError>> {
     const found = await this.store.get(headName)
     return found.andThen(object => {
       if (object === undefined) return ok(undefined)
       const head = Head.safeParse(object.value)
-      return head.success ? ok({ head: head.data, version: object.version }) : err(storeFault('refused', 'the head is not valid'))
+      return head.success ? ok({ head: head.data, version: object.version }) : err(storeError('refused', 'the head is not valid'))
     })
   }
 
-  async shards (hashes: string[]): Promise<Result<Map<string, string>, StoreFault>> {
+  async shards (hashes: string[]): Promise<Result<Map<string, string>, StoreError>> {
     const texts = new Map<string, string>()
     for (let at = 0; at < hashes.length; at += maxConcurrentReads) {
       const batch = hashes.slice(at, at + maxConcurrentReads)
@@ -52,11 +52,11 @@
 }
 
 /** Updates `catalog` to the head of `source`. Returns whether its revision changed. */
-export const catchUp = async (catalog: Catalog, source: ConfigurationSource): Promise<Result<boolean, StoreFault>> => {
+export const catchUp = async (catalog: Catalog, source: ConfigurationSource): Promise<Result<boolean, StoreError>> => {
   const head = await source.head()
   if (head.isErr()) return err(head.error)
   if (head.value === undefined || head.value.revision <= catalog.revision) return ok(false)
-  const shards = await source.shards(catalog.lacking(head.value))
+  const shards = await source.shards(catalog.missingShards(head.value))
   if (shards.isErr()) return err(shards.error)
-  return ok(catalog.move(head.value, shards.value))
+  return ok(catalog.update(head.value, shards.value))
 }
--- a/packages/store/src/follow.ts
+++ b/packages/store/src/configuration-watch.ts
@@ -6,13 +6,13 @@
  */
 import { backoff, deadlineIn, pause, type Log, type Random } from '@finchpitch/core'
 import type { Catalog } from './catalog.js'
-import { StoreSource, catchUp, headName } from './configuration-store.js'
+import { StoreSource, catchUp, headName } from './configuration-source.js'
 import type { ObjectStore } from './object-store.js'
 
 /** Interval of the periodic read. With the few watching processes per failure domain, it adds up to a few reads per second. */
 const readIntervalMs = 3000
 
-export interface Following {
+export interface ConfigurationWatchOptions {
   store: ObjectStore
   catalog: Catalog
   log: Log
@@ -21,7 +21,7 @@
 }
 
 /** Updates `catalog` until `signal` aborts. */
-export const follow = async ({ store, catalog, log, random, signal }: Following): Promise<void> => {
+export const watchConfiguration = async ({ store, catalog, log, random, signal }: ConfigurationWatchOptions): Promise<void> => {
   const source = new StoreSource(store)
   let failures = 0
   while (!signal.aborted) {
--- a/packages/store/src/fence.ts
+++ b/packages/store/src/fencing-token.ts
@@ -6,7 +6,7 @@
 import { backoff, pause, type Random } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
-import { storeFault, type ObjectStore, type StoreFault } from './object-store.js'
+import { storeError, type ObjectStore, type StoreError } from './object-store.js'
 
 const maxWriteAttempts = 8
 const FenceValue = z.object({ fence: z.number().int().positive() })
@@ -15,9 +15,9 @@
  * Takes the next fencing token for a backend server. A number is used only once its write is confirmed, so a lost
  * response merely skips a number.
  */
-export const takeFence = async (store: ObjectStore, backend: string, random: Random): Promise<Result<number, StoreFault>> => {
+export const acquireFencingToken = async (store: ObjectStore, backend: string, random: Random): Promise<Result<number, StoreError>> => {
   const name = `fences/${backend}`
-  let lastError = storeFault('unavailable')
+  let lastError = storeError('unavailable')
   for (let failures = 0; failures < maxWriteAttempts; failures++) {
     if (failures > 0) await pause(backoff(failures, random))
     const found = await store.get(name)
--- a/packages/store/src/http-store.ts
+++ b/packages/store/src/http-store.ts
@@ -6,7 +6,7 @@
 import { err, ok, type Result } from 'neverthrow'
 import { Pool, errors } from 'undici'
 import * as z from 'zod'
-import { storeFault, type ObjectStore, type ResourceVersion, type StoreFault, type StoredObject, type WatchEvent } from './object-store.js'
+import { storeError, type ObjectStore, type ResourceVersion, type StoreError, type StoredObject, type WatchEvent } from './object-store.js'
 
 const root = '/apis/finchpitch/v1/objects'
 const maxConnections = 8
@@ -34,7 +34,7 @@
 /** Error codes of failed connection attempts: nothing was sent, so the call had no effect. */
 const connectErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
-const errorCodesByStatus: Record<number, StoreFault['code']> = { 409: 'conflict', 410: 'too_old', 429: 'unavailable', 503: 'unavailable' }
+const errorCodesByStatus: Record<number, StoreError['code']> = { 409: 'conflict', 410: 'too_old', 429: 'unavailable', 503: 'unavailable' }
 
 export class HttpStore implements ObjectStore {
   readonly #pool: Pool
@@ -43,25 +43,25 @@
     this.#pool = new Pool(origin, { connections: maxConnections, headersTimeout: callTimeoutMs, bodyTimeout: watchIdleTimeoutMs, connectTimeout: callTimeoutMs })
   }
 
-  async get (name: string): Promise<Result<StoredObject | undefined, StoreFault>> {
+  async get (name: string): Promise<Result<StoredObject | undefined, StoreError>> {
     const reply = await this.#call('GET', `${root}/${name}`)
     if (reply.isErr()) return err(reply.error)
     if (reply.value.status === 404) return ok(undefined)
     return this.#resultOf(reply.value, toObject)
   }
 
-  async list (prefix: string): Promise<Result<string[], StoreFault>> {
+  async list (prefix: string): Promise<Result<string[], StoreError>> {
     const reply = await this.#call('GET', `${root}?prefix=${encodeURIComponent(prefix)}`)
     return reply.andThen(value => this.#resultOf(value, body => NameList.parse(body).items))
   }
 
-  async put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreFault>> {
+  async put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreError>> {
     const metadata = version === 'absent' ? { name } : { name, resourceVersion: version }
     const reply = await this.#call('PUT', `${root}/${name}`, { metadata, spec: value })
     return reply.andThen(found => this.#resultOf(found, toObject))
   }
 
-  async remove (name: string, version: ResourceVersion): Promise<Result<void, StoreFault>> {
+  async remove (name: string, version: ResourceVersion): Promise<Result<void, StoreError>> {
     const reply = await this.#call('DELETE', `${root}/${name}?resourceVersion=${version}`)
     if (reply.isErr()) return err(reply.error)
     if (reply.value.status === 404) return ok(undefined)
@@ -74,7 +74,7 @@
       const { statusCode, body } = await this.#pool.request({ method: 'GET', path, headers: this.#headers(), signal })
       if (statusCode !== 200) {
         await body.dump()
-        yield { type: 'ended', fault: storeFault(errorCodesByStatus[statusCode] ?? 'refused', `status ${statusCode}`) }
+        yield { type: 'ended', fault: storeError(errorCodesByStatus[statusCode] ?? 'refused', `status ${statusCode}`) }
         return
       }
       let text = ''
@@ -84,9 +84,9 @@
         text = lines.pop() ?? ''
         for (const line of lines) yield this.#event(line)
       }
-      yield { type: 'ended', fault: storeFault('unavailable', 'the watch was closed') }
+      yield { type: 'ended', fault: storeError('unavailable', 'the watch was closed') }
     } catch (error) {
-      yield { type: 'ended', fault: storeFault('unavailable', (error as Error).message) }
+      yield { type: 'ended', fault: storeError('unavailable', (error as Error).message) }
     }
   }
 
@@ -96,7 +96,7 @@
 
   #event (line: string): WatchEvent {
     const { type, object } = WatchLine.parse(JSON.parse(line))
-    if (type === 'ERROR') return { type: 'ended', fault: storeFault('too_old') }
+    if (type === 'ERROR') return { type: 'ended', fault: storeError('too_old') }
     const item = toObject(object)
     return type === 'DELETED' ? { type: 'deleted', name: item.name, version: item.version } : { type: 'changed', object: item }
   }
@@ -105,7 +105,7 @@
     return this.token === undefined ? {} : { authorization: `Bearer ${this.token}` }
   }
 
-  async #call (method: 'GET' | 'PUT' | 'DELETE', path: string, body?: unknown): Promise<Result<Reply, StoreFault>> {
+  async #call (method: 'GET' | 'PUT' | 'DELETE', path: string, body?: unknown): Promise<Result<Reply, StoreError>> {
     try {
       const headers = { ...this.#headers(), ...(body === undefined ? {} : { 'content-type': 'application/json' }) }
       const payload = body === undefined ? null : JSON.stringify(body)
@@ -115,12 +115,12 @@
     } catch (error) {
       const code = (error as NodeJS.ErrnoException).code ?? ''
       const hadNoEffect = method === 'GET' || connectErrorCodes.has(code) || error instanceof errors.ConnectTimeoutError
-      return err(storeFault(hadNoEffect ? 'unavailable' : 'ambiguous', (error as Error).message))
+      return err(storeError(hadNoEffect ? 'unavailable' : 'ambiguous', (error as Error).message))
     }
   }
 
-  #resultOf<T> (reply: Reply, read: (body: unknown) => T): Result<T, StoreFault> {
+  #resultOf<T> (reply: Reply, read: (body: unknown) => T): Result<T, StoreError> {
     if (reply.status >= 200 && reply.status < 300) return ok(read(reply.body))
-    return err(storeFault(errorCodesByStatus[reply.status] ?? 'refused', `status ${reply.status}`))
+    return err(storeError(errorCodesByStatus[reply.status] ?? 'refused', `status ${reply.status}`))
   }
 }
--- a/packages/store/src/instances.ts
+++ b/packages/store/src/instances.ts
@@ -6,7 +6,7 @@
 import { err, ok, type Result } from 'neverthrow'
 import { request } from 'undici'
 import * as z from 'zod'
-import { storeFault, type StoreFault } from './object-store.js'
+import { storeError, type StoreError } from './object-store.js'
 
 const requestTimeoutMs = 1000
 
@@ -21,7 +21,7 @@
 export type Instance = z.infer<typeof Instance>
 
 export interface InstanceList {
-  read: () => Promise<Result<Instance[], StoreFault>>
+  read: () => Promise<Result<Instance[], StoreError>>
 }
 
 const InstancesBody = z.object({ items: z.array(Instance) })
@@ -32,7 +32,7 @@
 
   constructor (private readonly origin: string) {}
 
-  async read (): Promise<Result<Instance[], StoreFault>> {
+  async read (): Promise<Result<Instance[], StoreError>> {
     try {
       const headers = this.#cached === undefined ? {} : { 'if-none-match': this.#cached.tag }
       const reply = await request(`${this.origin}/instances`, { headers, headersTimeout: requestTimeoutMs, bodyTimeout: requestTimeoutMs })
@@ -42,12 +42,12 @@
       }
       const body = await reply.body.json()
       const parsed = InstancesBody.safeParse(body)
-      if (reply.statusCode !== 200 || !parsed.success) return err(storeFault('refused', `status ${reply.statusCode}`))
+      if (reply.statusCode !== 200 || !parsed.success) return err(storeError('refused', `status ${reply.statusCode}`))
       const { etag } = reply.headers
       this.#cached = typeof etag === 'string' ? { tag: etag, instances: parsed.data.items } : undefined
       return ok(parsed.data.items)
     } catch (error) {
-      return err(storeFault('unavailable', (error as Error).message))
+      return err(storeError('unavailable', (error as Error).message))
     }
   }
 }
--- a/packages/store/src/object-store.ts
+++ b/packages/store/src/object-store.ts
@@ -15,38 +15,38 @@
   value: unknown
 }
 
-export const storeFaultTexts = {
+export const storeErrorMessages = {
   unavailable: 'the store did not answer, and nothing was written',
   ambiguous: 'the answer to a write was lost; it may have taken effect',
   conflict: 'the object has changed since it was read',
   too_old: 'the watch starts at a version that is no longer kept',
   refused: 'the store refused the call'
 } as const
-export type StoreFaultCode = keyof typeof storeFaultTexts
+export type StoreErrorCode = keyof typeof storeErrorMessages
 
-export interface StoreFault {
-  code: StoreFaultCode
+export interface StoreError {
+  code: StoreErrorCode
   detail: string
 }
 
-export const storeFault = (code: StoreFaultCode, detail = ''): StoreFault => ({ code, detail })
+export const storeError = (code: StoreErrorCode, detail = ''): StoreError => ({ code, detail })
 
-export const describeFault = ({ code, detail }: StoreFault): string =>
-  detail === '' ? storeFaultTexts[code] : `${storeFaultTexts[code]} (${detail})`
+export const describeStoreError = ({ code, detail }: StoreError): string =>
+  detail === '' ? storeErrorMessages[code] : `${storeErrorMessages[code]} (${detail})`
 
 export type WatchEvent =
   | { type: 'changed', object: StoredObject }
   | { type: 'deleted', name: string, version: ResourceVersion }
-  | { type: 'ended', fault: StoreFault }
+  | { type: 'ended', fault: StoreError }
 
 export interface ObjectStore {
   /** `undefined` if the object doesn't exist. */
-  get: (name: string) => Promise<Result<StoredObject | undefined, StoreFault>>
+  get: (name: string) => Promise<Result<StoredObject | undefined, StoreError>>
   /** Sorted names of the objects whose name starts with `prefix`. */
-  list: (prefix: string) => Promise<Result<string[], StoreFault>>
+  list: (prefix: string) => Promise<Result<string[], StoreError>>
   /** Writes the object if it is still at `version`; with `absent`, if it still doesn't exist. */
-  put: (name: string, value: unknown, version: ResourceVersion | 'absent') => Promise<Result<StoredObject, StoreFault>>
-  remove: (name: string, version: ResourceVersion) => Promise<Result<void, StoreFault>>
+  put: (name: string, value: unknown, version: ResourceVersion | 'absent') => Promise<Result<StoredObject, StoreError>>
+  remove: (name: string, version: ResourceVersion) => Promise<Result<void, StoreError>>
   /** Yields changes after `version`; events may be repeated or missing. The last event is always `ended`. */
   watch: (name: string, version: ResourceVersion, signal: AbortSignal) => AsyncIterable<WatchEvent>
 }
--- a/packages/store/test/apply.test.ts
+++ b/packages/store/test/apply.test.ts
@@ -1,22 +1,22 @@
-import { Revision, check } from '@finchpitch/core'
-import { Catalog, StoreSource, apply, catchUp } from '@finchpitch/store'
+import { Revision, validateConfiguration } from '@finchpitch/core'
+import { Catalog, StoreSource, applyConfiguration, catchUp } from '@finchpitch/store'
 import { FakeTime, MemoryStore } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
 const seeded = (): number => 0.5
 
-const configuration = (...teams: string[]): ReturnType<typeof check> extends { _unsafeUnwrap: () => infer C } ? C : never =>
-  check({ teams: teams.map(name => ({ name, tokens: [] })) })._unsafeUnwrap()
+const configuration = (...teams: string[]): ReturnType<typeof validateConfiguration> extends { _unsafeUnwrap: () => infer C } ? C : never =>
+  validateConfiguration({ teams: teams.map(name => ({ name, tokens: [] })) })._unsafeUnwrap()
 
-const request = (base: number, ...teams: string[]): Parameters<typeof apply>[1] =>
+const request = (base: number, ...teams: string[]): Parameters<typeof applyConfiguration>[1] =>
   ({ configuration: configuration(...teams), base: Revision.parse(base), actor: 'ana', note: '' })
 
 describe('apply', () => {
   let store: MemoryStore
   let time: FakeTime
 
-  const applied = (base: number, ...teams: string[]): ReturnType<typeof apply> =>
-    time.until(apply(store, request(base, ...teams), seeded))
+  const applied = (base: number, ...teams: string[]): ReturnType<typeof applyConfiguration> =>
+    time.runUntilSettled(applyConfiguration(store, request(base, ...teams), seeded))
 
   beforeEach(() => {
     store = new MemoryStore()
@@ -45,7 +45,7 @@
   describe('when a response is lost', () => {
     it('reads the head back to learn the outcome', async () => {
       await applied(0, 'a')
-      store.loseAnswers = 2
+      store.responsesToLose = 2
       expect((await applied(1, 'b'))._unsafeUnwrap()).to.include({ kind: 'applied' })
       expect(store.writes.filter(({ name }) => name === 'config/head')).to.have.length(2)
     })
@@ -58,8 +58,8 @@
         const written = await put(name, value, version)
         if (name !== 'config/head' || intercepted) return written
         intercepted = true
-        await apply(store, request(2, 'c'), seeded)
-        store.loseAnswers = 1
+        await applyConfiguration(store, request(2, 'c'), seeded)
+        store.responsesToLose = 1
         return await put('lost', 0, 'absent')
       }
       expect((await applied(1, 'b'))._unsafeUnwrap().kind).to.equal('applied')
@@ -70,7 +70,7 @@
       const put = store.put.bind(store)
       store.put = async (name, value, version) => {
         if (name !== 'config/head') return await put(name, value, version)
-        store.loseAnswers = 1
+        store.responsesToLose = 1
         const written = await put(name, value, version)
         store.down = true
         return written
@@ -91,7 +91,7 @@
       await catchUp(catalog, source)
       if (old === undefined) throw new Error('there is a head')
       const texts = (await source.shards([old.common, ...old.adapters]))._unsafeUnwrap()
-      expect(catalog.move(old, texts)).to.equal(false)
+      expect(catalog.update(old, texts)).to.equal(false)
       expect([catalog.revision, catalog.team('b')?.name]).to.deep.equal([2, 'b'])
     })
 
@@ -100,7 +100,7 @@
       const head = (await new StoreSource(store).head())._unsafeUnwrap()
       if (head === undefined) throw new Error('there is a head')
       const forged = new Map([head.common, ...head.adapters].map(hash => [hash, '{}']))
-      expect(new Catalog('all').move(head, forged)).to.equal(false)
+      expect(new Catalog('all').update(head, forged)).to.equal(false)
     })
   })
 })
--- a/packages/store/test/claims.test.ts
+++ b/packages/store/test/claims.test.ts
@@ -17,7 +17,7 @@
 describe('claims', () => {
   let store: MemoryStore
   let time: FakeTime
-  const claims = (): Claims => new Claims({ store, random: seeded, buckets: 4, keptMs: 60_000 })
+  const claims = (): Claims => new Claims({ store, random: seeded, bucketCount: 4, keptMs: 60_000 })
 
   beforeEach(() => {
     store = new MemoryStore()
@@ -27,21 +27,21 @@
   afterEach(() => time.restore())
 
   it('binds a key once when several entries claim it concurrently', async () => {
-    const bound = await time.until(Promise.all(['a', 'b', 'c', 'd'].map(nonce => claims().bind(id, binding(nonce)))))
+    const bound = await time.runUntilSettled(Promise.all(['a', 'b', 'c', 'd'].map(nonce => claims().bind(id, binding(nonce)))))
     const nonces = bound.map(each => each._unsafeUnwrap().nonce)
     expect(new Set(nonces).size).to.equal(1)
   })
 
   it('batches concurrent claims into few updates', async () => {
-    const one = new Claims({ store, random: seeded, buckets: 1, keptMs: 60_000 })
+    const one = new Claims({ store, random: seeded, bucketCount: 1, keptMs: 60_000 })
     const keys = Array.from({ length: 50 }, (_, index) => claimId(TeamName.parse('quetzal'), RequestKey.parse(`k${index}`)))
-    await time.until(Promise.all(keys.map(key => one.bind(key, binding(key)))))
+    await time.runUntilSettled(Promise.all(keys.map(key => one.bind(key, binding(key)))))
     expect(store.calls.writes).to.equal(2)
   })
 
   it('finds its own claim after a lost response', async () => {
-    store.loseAnswers = 1
-    expect((await time.until(claims().bind(id, binding('mine'))))._unsafeUnwrap().nonce).to.equal('mine')
+    store.responsesToLose = 1
+    expect((await time.runUntilSettled(claims().bind(id, binding('mine'))))._unsafeUnwrap().nonce).to.equal('mine')
     expect(store.writes).to.have.length(1)
   })
 
@@ -55,23 +55,23 @@
 
   describe('rebind', () => {
     it('replaces only the binding with the given nonce', async () => {
-      await time.until(claims().bind(id, binding('a')))
-      expect((await time.until(claims().rebind(id, 'a', binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
-      expect((await time.until(claims().rebind(id, 'a', binding('c'))))._unsafeUnwrap().nonce).to.equal('b')
+      await time.runUntilSettled(claims().bind(id, binding('a')))
+      expect((await time.runUntilSettled(claims().rebind(id, 'a', binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
+      expect((await time.runUntilSettled(claims().rebind(id, 'a', binding('c'))))._unsafeUnwrap().nonce).to.equal('b')
     })
 
     it('lets only one of two concurrent entries replace a binding', async () => {
-      await time.until(claims().bind(id, binding('a')))
-      const both = await time.until(Promise.all(['b', 'c'].map(nonce => claims().rebind(id, 'a', binding(nonce)))))
+      await time.runUntilSettled(claims().bind(id, binding('a')))
+      const both = await time.runUntilSettled(Promise.all(['b', 'c'].map(nonce => claims().rebind(id, 'a', binding(nonce)))))
       expect(new Set(both.map(each => each._unsafeUnwrap().nonce)).size).to.equal(1)
     })
   })
 
   it('drops a claim only after its retention time', async () => {
-    const expiring = new Claims({ store, random: seeded, buckets: 4, keptMs: 0 })
-    await time.until(claims().bind(id, binding('a')))
-    expect((await time.until(claims().bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('a')
-    expect((await time.until(expiring.bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
+    const expiring = new Claims({ store, random: seeded, bucketCount: 4, keptMs: 0 })
+    await time.runUntilSettled(claims().bind(id, binding('a')))
+    expect((await time.runUntilSettled(claims().bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('a')
+    expect((await time.runUntilSettled(expiring.bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
   })
 
   it('gives equal keys of two teams different claim ids', () => {
--- a/packages/store/test/follow.test.ts
+++ b/packages/store/test/configuration-watch.test.ts
@@ -1,5 +1,5 @@
-import { Revision, check, quietLog } from '@finchpitch/core'
-import { Catalog, apply, follow, takeFence } from '@finchpitch/store'
+import { Revision, validateConfiguration, silentLog } from '@finchpitch/core'
+import { Catalog, applyConfiguration, watchConfiguration, acquireFencingToken } from '@finchpitch/store'
 import { FakeTime, MemoryStore } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
@@ -13,8 +13,8 @@
   let revision = 0
 
   const change = async (): Promise<void> => {
-    const configuration = check({ teams: [{ name: `team-${revision}`, tokens: [] }] })._unsafeUnwrap()
-    await time.until(apply(store, { configuration, base: Revision.parse(revision), actor: 'ana', note: '' }, seeded))
+    const configuration = validateConfiguration({ teams: [{ name: `team-${revision}`, tokens: [] }] })._unsafeUnwrap()
+    await time.runUntilSettled(applyConfiguration(store, { configuration, base: Revision.parse(revision), actor: 'ana', note: '' }, seeded))
     revision += 1
   }
 
@@ -25,49 +25,49 @@
     await change()
     catalog = new Catalog('all')
     stop = new AbortController()
-    void follow({ store, catalog, log: quietLog, random: seeded, signal: stop.signal })
-    await time.pass(100)
+    void watchConfiguration({ store, catalog, log: silentLog, random: seeded, signal: stop.signal })
+    await time.advance(100)
   })
 
   afterEach(async () => {
     stop.abort()
-    await time.pass(10)
+    await time.advance(10)
     time.restore()
   })
 
   it('learns a change immediately from its watch', async () => {
     await change()
-    await time.pass(10)
+    await time.advance(10)
     expect(catalog.revision).to.equal(2)
   })
 
   for (const [fault, inject] of Object.entries({
-    'a watch that delivers nothing': (each: MemoryStore) => { each.deafWatches = true },
-    'duplicate events': (each: MemoryStore) => { each.repeatEvents = true },
-    'an interrupted watch': (each: MemoryStore) => { each.cutWatches() },
+    'a watch that delivers nothing': (each: MemoryStore) => { each.silentWatches = true },
+    'duplicate events': (each: MemoryStore) => { each.duplicateEvents = true },
+    'an interrupted watch': (each: MemoryStore) => { each.closeWatches() },
     'a slow store': (each: MemoryStore) => { each.delayMs = 400 }
   })) {
     it(`learns a change within 5 s with ${fault}`, async () => {
       inject(store)
       await change()
-      await time.pass(5000)
+      await time.advance(5000)
       expect(catalog.revision).to.equal(2)
     })
   }
 
   it('keeps its configuration while the store is down, and catches up afterwards', async () => {
     store.down = true
-    await time.pass(60_000)
+    await time.advance(60_000)
     expect(catalog.revision).to.equal(1)
     store.down = false
     await change()
-    await time.pass(5000)
+    await time.advance(5000)
     expect(catalog.revision).to.equal(2)
   })
 
   it('calls an idle store at most about once a second', async () => {
     const { reads, watches } = store.calls
-    await time.pass(60_000)
+    await time.advance(60_000)
     expect((store.calls.reads - reads + store.calls.watches - watches) / 60).to.be.at.most(1.1)
   })
 })
@@ -77,9 +77,9 @@
     const time = new FakeTime()
     const store = new MemoryStore()
     try {
-      const first = (await time.until(takeFence(store, 'engine-1', seeded)))._unsafeUnwrap()
-      store.loseAnswers = 1
-      const [second, third] = await time.until(Promise.all([1, 2].map(() => takeFence(store, 'engine-1', seeded))))
+      const first = (await time.runUntilSettled(acquireFencingToken(store, 'engine-1', seeded)))._unsafeUnwrap()
+      store.responsesToLose = 1
+      const [second, third] = await time.runUntilSettled(Promise.all([1, 2].map(() => acquireFencingToken(store, 'engine-1', seeded))))
       const numbers = [first, second?._unsafeUnwrap(), third?._unsafeUnwrap()]
       expect(new Set(numbers).size).to.equal(3)
       expect(numbers[1]).to.be.above(first)
--- a/packages/wire/src/channel.ts
+++ b/packages/wire/src/channel.ts
@@ -7,19 +7,19 @@
  */
 import type { Duplex } from 'node:stream'
 import { pause } from '@finchpitch/core'
-import { FrameReader, encode, type FrameFault } from './codec.js'
+import { FrameDecoder, encodeFrame, type FrameError } from './codec.js'
 import { protocolVersion, type Frame, type FrameOf, type Hello } from './frame.js'
 
-export const heartbeatMs = 2000
+export const defaultHeartbeatMs = 2000
 /** Tolerates three lost heartbeats before the peer is considered dead. */
-export const silenceMs = 7000
+export const defaultSilenceTimeoutMs = 7000
 
 export type ChannelEnd =
   | { reason: 'closed' }
   | { reason: 'silent' }
   | { reason: 'broken', detail: string }
   | { reason: 'cut', heldBytes: number }
-  | { reason: 'fault', fault: FrameFault }
+  | { reason: 'fault', fault: FrameError }
   | { reason: 'protocol', detail: string }
 
 /** Heartbeat interval and time-out of a channel. */
@@ -27,9 +27,9 @@
   /** Milliseconds without a sent frame after which a heartbeat is sent; `defaultHeartbeatMs` if absent. */
   heartbeatMs?: number
   /** Sends a heartbeat in each interval, even if other frames were sent, because its fields carry state of their own. */
-  steady?: boolean
+  alwaysHeartbeat?: boolean
   /** Milliseconds without a received frame after which the peer is considered dead; `defaultSilenceTimeoutMs` if absent. */
-  silenceMs?: number
+  silenceTimeoutMs?: number
 }
 
 export interface ChannelOptions extends ChannelPace {
@@ -41,7 +41,7 @@
 const delayToNextTick = (intervalMs: number): number => intervalMs - performance.now() % intervalMs
 
 export class Channel {
-  readonly #decoder = new FrameReader()
+  readonly #decoder = new FrameDecoder()
   readonly #ended: Promise<ChannelEnd>
   readonly #helloReceived: Promise<boolean>
   #resolveHello!: (received: boolean) => void
@@ -71,7 +71,7 @@
   }
 
   /** Resolves to true once the peer's hello has arrived, or to false if the channel closes before. Requires that `frames` is being read. */
-  get greeted (): Promise<boolean> {
+  get helloReceived (): Promise<boolean> {
     return this.#helloReceived
   }
 
@@ -86,7 +86,7 @@
 
   /** Sends one frame. Returns false, and sends nothing, if the channel is closed. */
   send (frame: Frame): boolean {
-    return this.sendEncoded([encode(frame)])
+    return this.sendEncoded([encodeFrame(frame)])
   }
 
   /** Sends encoded frames in one write; a frame for several peers need only be encoded once. Returns false if the channel is closed. */
@@ -167,7 +167,7 @@
 
   async #runHeartbeats (): Promise<void> {
     while (this.open) {
-      const { heartbeatMs: intervalMs = heartbeatMs, silenceMs: timeoutMs = silenceMs, steady: always } = this.#pace
+      const { heartbeatMs: intervalMs = defaultHeartbeatMs, silenceTimeoutMs: timeoutMs = defaultSilenceTimeoutMs, alwaysHeartbeat: always } = this.#pace
       await pause(delayToNextTick(intervalMs), this.#wake.signal)
       const now = performance.now()
       if (now - this.#lastReceived > timeoutMs) this.close({ reason: 'silent' })
--- a/packages/wire/src/codec.ts
+++ b/packages/wire/src/codec.ts
@@ -7,7 +7,7 @@
 import { Decoder, Encoder } from 'cbor-x'
 import { err, ok, type Result } from 'neverthrow'
 import { Frame } from './frame.js'
-import { surelyFrame } from './quick-check.js'
+import { passesFastValidation } from './fast-validation.js'
 
 export const maxFrameBytes = 4 * 1024 * 1024
 const lengthPrefixBytes = 4
@@ -15,21 +15,21 @@
 const encoder = new Encoder({ useRecords: false, mapsAsObjects: true })
 const decoder = new Decoder({ useRecords: false, mapsAsObjects: true })
 
-export const frameFaultTexts = {
+export const frameErrorMessages = {
   frame_too_large: 'frame exceeds the size limit',
   frame_not_cbor: 'frame is not valid CBOR',
   frame_not_valid: 'frame does not match the schema'
 } as const
-export type FrameFaultCode = keyof typeof frameFaultTexts
+export type FrameErrorCode = keyof typeof frameErrorMessages
 
-export interface FrameFault {
-  code: FrameFaultCode
+export interface FrameError {
+  code: FrameErrorCode
   /** Offset of the frame in the stream and, if a field is invalid, the path of the field. */
   path: string
   message: string
 }
 
-export const encode = (frame: Frame): Buffer => {
+export const encodeFrame = (frame: Frame): Buffer => {
   const body = encoder.encode(frame)
   const bytes = Buffer.allocUnsafe(lengthPrefixBytes + body.length)
   bytes.writeUInt32BE(body.length)
@@ -37,11 +37,11 @@
   return bytes
 }
 
-const frameError = (code: FrameFaultCode, offset: number, detail = ''): FrameFault =>
-  ({ code, path: detail === '' ? `byte ${offset}` : `byte ${offset}, ${detail}`, message: frameFaultTexts[code] })
+const frameError = (code: FrameErrorCode, offset: number, detail = ''): FrameError =>
+  ({ code, path: detail === '' ? `byte ${offset}` : `byte ${offset}, ${detail}`, message: frameErrorMessages[code] })
 
 /** Incremental decoder for one byte stream. Each chunk returns the frames that it completes. */
-export class FrameReader {
+export class FrameDecoder {
   #chunks: Buffer[] = []
   #buffered = 0
   #offset = 0
@@ -51,7 +51,7 @@
     return this.#buffered
   }
 
-  read (chunk: Uint8Array): Result<Frame[], FrameFault> {
+  read (chunk: Uint8Array): Result<Frame[], FrameError> {
     this.#chunks.push(Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength))
     this.#buffered += chunk.byteLength
     const frames: Frame[] = []
@@ -67,14 +67,14 @@
     return ok(frames)
   }
 
-  #decodeBody (body: Buffer): Result<Frame, FrameFault> {
+  #decodeBody (body: Buffer): Result<Frame, FrameError> {
     let value: unknown
     try {
       value = decoder.decode(body)
     } catch {
       return err(frameError('frame_not_cbor', this.#offset))
     }
-    if (surelyFrame(value)) return ok(value)
+    if (passesFastValidation(value)) return ok(value)
     const parsed = Frame.safeParse(value)
     if (parsed.success) return ok(parsed.data)
     const issue = parsed.error.issues[0]
--- a/packages/wire/src/quick-check.ts
+++ b/packages/wire/src/fast-validation.ts
@@ -7,14 +7,14 @@
  * not been compiled yet. One of the first 400 frames takes 30 µs instead of 73 µs with the schema, and 3 µs instead of 6 µs once
  * the code has been compiled.
  */
-import { StoreSight, longestAdapterKey, longestHost, longestReason, longestTeam, mostUses, type Frame, type FrameOf } from './frame.js'
+import { StoreSight, maxAdapterKeyLength, maxHostLength, maxReasonLength, maxTeamNameLength, maxUsesPerFrame, type Frame, type FrameOf } from './frame.js'
 
 type Check = (value: unknown) => boolean
 
 const isCount: Check = value => Number.isSafeInteger(value) && (value as number) >= 0
 const isNonNegative: Check = value => Number.isFinite(value) && (value as number) >= 0
 const isFlag: Check = value => typeof value === 'boolean'
-const isKey: Check = value => typeof value === 'string' && value.length <= longestAdapterKey
+const isKey: Check = value => typeof value === 'string' && value.length <= maxAdapterKeyLength
 const isKeyArray: Check = value => Array.isArray(value) && value.every(isKey)
 const isUse: Check = value => Array.isArray(value) && value.length === 3 && isKey(value[0]) && isCount(value[1]) && isCount(value[2])
 
@@ -34,7 +34,7 @@
 const complete: Record<string, Check> = { table: isNonNegative, server: isNonNegative, version: isNonNegative }
 const completeFields = Object.keys(complete)
 
-const isTeam: Check = value => typeof value === 'string' && value.length <= longestTeam
+const isTeam: Check = value => typeof value === 'string' && value.length <= maxTeamNameLength
 const isTokenWant: Check = value => Array.isArray(value) && value.length === 2 && isTeam(value[0]) && isNonNegative(value[1])
 const isAgedTokens: Check = value => Array.isArray(value) && value.length === 3 && isTeam(value[0]) && isNonNegative(value[1]) && isNonNegative(value[2])
 const isAgedTokensArray: Check = value => Array.isArray(value) && value.every(isAgedTokens)
@@ -51,7 +51,7 @@
 const shapes = {
   holding: {
     type: value => value === 'holding',
-    host: value => typeof value === 'string' && value.length <= longestHost,
+    host: value => typeof value === 'string' && value.length <= maxHostLength,
     whole: isFlag,
     reachable: isFlag,
     server: value => value === null || typeof value === 'string',
@@ -69,7 +69,7 @@
   },
   uses: {
     type: value => value === 'uses',
-    uses: value => Array.isArray(value) && value.length <= mostUses && value.every(isUse),
+    uses: value => Array.isArray(value) && value.length <= maxUsesPerFrame && value.every(isUse),
     unread: isCount
   },
   heartbeat: {
@@ -88,7 +88,7 @@
   declined: {
     type: value => value === 'declined',
     key: isKey,
-    reason: value => typeof value === 'string' && value.length <= longestReason
+    reason: value => typeof value === 'string' && value.length <= maxReasonLength
   },
   arrived: {
     type: value => value === 'arrived',
@@ -141,7 +141,7 @@
 }
 
 /** Whether the decoded value is certainly a valid frame. False says nothing: the schema has to decide. */
-export const surelyFrame = (value: unknown): value is Frame => {
+export const passesFastValidation = (value: unknown): value is Frame => {
   if (!isPlainObject(value) || typeof value.type !== 'string' || !Object.hasOwn(shapes, value.type)) return false
   const type = value.type as keyof typeof shapes
   return fits(value, shapes[type], requiredFields[type])
--- a/packages/wire/src/inbox.ts
+++ b/packages/wire/src/flow-control.ts
@@ -6,13 +6,13 @@
  * to the counts in the end frame. Otherwise the response fails, so that a caller never takes a truncated or mixed-up response
  * for a complete one.
  */
-import { AnswerFailure, unknown, type Failure } from '@finchpitch/core'
+import { ResponseError, outcomeUnknown, type Failure } from '@finchpitch/core'
 import type { FrameOf } from './frame.js'
 
 /** Maximum bytes of one response that are in transit or unread. */
 export const windowBytes = 256 * 1024
 
-export class Inbox {
+export class ReceiveBuffer {
   readonly #chunks: Uint8Array[] = []
   #nextSequence = 0
   #bytes = 0
@@ -22,10 +22,10 @@
 
   constructor (private readonly returnCredit: (bytes: number) => void) {}
 
-  chunk (frame: FrameOf<'chunk'>): void {
+  addChunk (frame: FrameOf<'chunk'>): void {
     if (this.#finished) return
     if (frame.sequence < this.#nextSequence) return
-    if (frame.sequence > this.#nextSequence) return this.fail(unknown('answer_cut', { detail: `Chunk ${this.#nextSequence} is missing.` }))
+    if (frame.sequence > this.#nextSequence) return this.fail(outcomeUnknown('answer_cut', { detail: `Chunk ${this.#nextSequence} is missing.` }))
     this.#nextSequence += 1
     this.#bytes += frame.data.length
     this.#chunks.push(frame.data)
@@ -35,7 +35,7 @@
   end (frame: FrameOf<'end'>): void {
     if (this.#finished) return
     const isComplete = frame.chunks === this.#nextSequence && frame.bytes === this.#bytes
-    if (!isComplete) return this.fail(unknown('answer_cut', { detail: `${this.#bytes} of ${frame.bytes} bytes came.` }))
+    if (!isComplete) return this.fail(outcomeUnknown('answer_cut', { detail: `${this.#bytes} of ${frame.bytes} bytes came.` }))
     this.#finished = true
     this.#wake?.()
   }
@@ -54,7 +54,7 @@
         this.returnCredit(Math.max(1, chunk.length))
         yield chunk
       } else if (this.#failure !== undefined) {
-        throw new AnswerFailure(this.#failure)
+        throw new ResponseError(this.#failure)
       } else if (this.#finished) {
         return
       } else {
@@ -65,12 +65,12 @@
 }
 
 /** The window on the sender's side. */
-export class Window {
+export class SendWindow {
   #available = windowBytes
   #wake: (() => void) | undefined
   #closed = false
 
-  give (bytes: number): void {
+  addCredit (bytes: number): void {
     this.#available += bytes
     this.#wake?.()
   }
@@ -82,7 +82,7 @@
   }
 
   /** Waits for credit, then deducts `bytes`, which may exceed it. Returns false once the window is closed. */
-  async take (bytes: number): Promise<boolean> {
+  async consume (bytes: number): Promise<boolean> {
     while (this.#available <= 0 && !this.#closed) {
       await new Promise<void>(resolve => { this.#wake = resolve })
     }
--- a/packages/wire/src/frame.ts
+++ b/packages/wire/src/frame.ts
@@ -13,7 +13,7 @@
 const ExchangeId = z.number().int().nonnegative()
 
 /** Load of a side process, as reported in its heartbeats and at the end of each response. */
-export const Load = z.object({
+export const LoadReport = z.object({
   waiting: z.number().int().nonnegative(),
   running: z.number().int().nonnegative(),
   capacity: z.number().int().positive(),
@@ -21,7 +21,7 @@
   epoch: z.number().int().nonnegative(),
   leaving: z.boolean()
 })
-export type Load = z.infer<typeof Load>
+export type LoadReport = z.infer<typeof LoadReport>
 
 /**
  * A process's access to the store: it watches the store, it tries to but gets no answer, or it leaves watching to other
@@ -31,8 +31,8 @@
 export type StoreSight = z.infer<typeof StoreSight>
 
 /** For each kind of fact, the store revision up to which a process has everything. */
-export const Complete = z.object({ table: z.number().nonnegative(), server: z.number().nonnegative(), version: z.number().nonnegative() })
-export type Complete = z.infer<typeof Complete>
+export const CompleteRevisions = z.object({ table: z.number().nonnegative(), server: z.number().nonnegative(), version: z.number().nonnegative() })
+export type CompleteRevisions = z.infer<typeof CompleteRevisions>
 
 export const Hello = z.object({
   type: z.literal('hello'),
@@ -43,8 +43,8 @@
   domain: FailureDomain,
   revision: Revision,
   serving: Serving.optional(),
-  load: Load.optional(),
-  complete: Complete.optional()
+  load: LoadReport.optional(),
+  complete: CompleteRevisions.optional()
 })
 export type Hello = z.infer<typeof Hello>
 
@@ -64,31 +64,31 @@
 export type FactFrame = z.infer<typeof FactFrame>
 
 /** Maximum length of an adapter key, in characters. */
-export const longestAdapterKey = 500
-const AdapterKey = z.string().max(longestAdapterKey)
+export const maxAdapterKeyLength = 500
+const AdapterKey = z.string().max(maxAdapterKeyLength)
 const Count = z.number().int().nonnegative()
 
 /** Maximum length of a host; an IP address has at most 45 characters. */
-export const longestHost = 64
+export const maxHostLength = 64
 /** Maximum length of the reason in a `declined` frame. */
-export const longestReason = 100
+export const maxReasonLength = 100
 /** Maximum length of a team's name. */
-export const longestTeam = 200
+export const maxTeamNameLength = 200
 /** Maximum length of the id of a server incarnation. */
-export const longestLife = 200
+export const maxIncarnationLength = 200
 /** Maximum number of crashes in one frame; also that of completed runs and of probes. */
-export const mostCrashes = 500
+export const maxCrashesPerFrame = 500
 /** Maximum number of adapters in one `uses` frame. */
-export const mostUses = 5000
+export const maxUsesPerFrame = 5000
 
 /** The IP address of the machine on which an engine and its side process run. */
-const Host = z.string().max(longestHost)
+const Host = z.string().max(maxHostLength)
 
 /**
  * State of an engine, sent by its side process or by another one that relays its updates. Updates are deltas: an absent
  * field has not changed since the previous frame for this engine. With `whole`, there is no previous frame.
  */
-export const HoldingFrame = z.object({
+export const EngineUpdateFrame = z.object({
   type: z.literal('holding'),
   host: Host,
   /** The frame is a full snapshot: `came` lists everything that is loaded, and earlier state of this engine is discarded. */
@@ -122,41 +122,41 @@
   /** The fencing token of the side process's orders. Peers remember it, so that its next incarnation never uses a lower one. */
   fence: Count.optional()
 })
-export type HoldingFrame = z.infer<typeof HoldingFrame>
+export type EngineUpdateFrame = z.infer<typeof EngineUpdateFrame>
 
 /** Quota tokens of a team: the team, the number of tokens, and the age of the oldest in ms when the frame was created. */
-export const TokenAge = z.tuple([z.string().max(longestTeam), z.number().nonnegative(), z.number().nonnegative()])
-export type TokenAge = z.infer<typeof TokenAge>
+export const AgedTokens = z.tuple([z.string().max(maxTeamNameLength), z.number().nonnegative(), z.number().nonnegative()])
+export type AgedTokens = z.infer<typeof AgedTokens>
 
 /** Maximum length of the id of a server incarnation together with the limit that it states. */
-export const longestServerLimit = longestLife + 30
-const ServerLimit = z.string().max(longestServerLimit)
+export const maxServerLimitLength = maxIncarnationLength + 30
+const ServerLimit = z.string().max(maxServerLimitLength)
 
 /** Requests allowed by a limit that a server states: the limit, the number of requests, and the age of the oldest allowance in ms when the frame was created. */
-export const RequestAge = z.tuple([ServerLimit, z.number().nonnegative(), z.number().nonnegative()])
-export type RequestAge = z.infer<typeof RequestAge>
+export const AgedRequests = z.tuple([ServerLimit, z.number().nonnegative(), z.number().nonnegative()])
+export type AgedRequests = z.infer<typeof AgedRequests>
 
 /** Requests that an entry lacks under a server's limit: the limit, the number of requests, and the lifetime of an allowance in ms. */
-export const RequestWant = z.tuple([ServerLimit, Count, z.number().nonnegative()])
-export type RequestWant = z.infer<typeof RequestWant>
+export const RequestShortfall = z.tuple([ServerLimit, Count, z.number().nonnegative()])
+export type RequestShortfall = z.infer<typeof RequestShortfall>
 
 /** Maximum number of server limits in one frame. */
-export const mostLimits = 500
+export const maxLimitsPerFrame = 500
 
 /**
  * The request rate that a server stated in a response: the server's incarnation, the requests per second (`null` if it stated
  * none), and the ages in ms of the request and of the response when the frame was created.
  */
-export const LimitAge = z.tuple([z.string().max(longestLife), z.number().nonnegative().nullable(), z.number().nonnegative(), z.number().nonnegative()])
-export type LimitAge = z.infer<typeof LimitAge>
+export const LimitReport = z.tuple([z.string().max(maxIncarnationLength), z.number().nonnegative().nullable(), z.number().nonnegative(), z.number().nonnegative()])
+export type LimitReport = z.infer<typeof LimitReport>
 
 /** A server crash during a request: the request's fingerprint, the server's incarnation, and the ages in ms of the request and of the crash when the frame was created. */
-export const CrashAge = z.tuple([RequestFingerprint, z.string().max(longestLife), z.number().nonnegative(), z.number().nonnegative()])
-export type CrashAge = z.infer<typeof CrashAge>
+export const CrashReport = z.tuple([RequestFingerprint, z.string().max(maxIncarnationLength), z.number().nonnegative(), z.number().nonnegative()])
+export type CrashReport = z.infer<typeof CrashReport>
 
 /** A run of a request that completed without a crash: the request's fingerprint, and the age of the completion in ms when the frame was created. */
-export const SoundAge = z.tuple([RequestFingerprint, z.number().nonnegative()])
-export type SoundAge = z.infer<typeof SoundAge>
+export const CompletedRunReport = z.tuple([RequestFingerprint, z.number().nonnegative()])
+export type CompletedRunReport = z.infer<typeof CompletedRunReport>
 
 /** Tells an entry whether it is one of those that watch the store for its failure domain. */
 export const Appointment = z.object({
@@ -170,7 +170,7 @@
 export const Frame = z.discriminatedUnion('type', [
   Hello,
   FactFrame,
-  HoldingFrame,
+  EngineUpdateFrame,
   /** Asks a side process to load an adapter, for which `waiting` requests are queued. */
   z.object({ type: z.literal('want'), key: AdapterKey, version: z.number().optional(), waiting: Count, priority: Count }),
   /** Subscribes to the updates of the engines on these hosts, and of no others. `relay`: the sender relays them to entries. */
@@ -178,7 +178,7 @@
   /** Asks for the facts that the sender lacks: each immediately from now on (`true`), or only those that it still lacks after a delay. */
   z.object({ type: z.literal('depend'), on: z.boolean() }),
   /** Sent to a peer that depends on the sender: with the facts sent before, it has everything up to these revisions. */
-  z.object({ type: z.literal('caught_up'), complete: Complete }),
+  z.object({ type: z.literal('caught_up'), complete: CompleteRevisions }),
   /** Asks for a freshness proof of the routing table. `stamp`: the sender's boot-time clock in ms; `revision`: that of the sender's table. */
   z.object({ type: z.literal('ask_fresh'), stamp: z.number(), revision: z.number().nonnegative() }),
   /**
@@ -195,46 +195,46 @@
     type: z.literal('quota'),
     stamp: z.number(),
     echo: z.object({ stamp: z.number(), heldMs: z.number().nonnegative() }).optional(),
-    gives: z.array(TokenAge),
-    wants: z.array(z.tuple([z.string().max(longestTeam), z.number().nonnegative()])),
+    gives: z.array(AgedTokens),
+    wants: z.array(z.tuple([z.string().max(maxTeamNameLength), z.number().nonnegative()])),
     /** The same for requests to servers that state a limit. */
-    servers: z.object({ gives: z.array(RequestAge), wants: z.array(RequestWant).max(mostLimits) }).optional()
+    servers: z.object({ gives: z.array(AgedRequests), wants: z.array(RequestShortfall).max(maxLimitsPerFrame) }).optional()
   }),
   /** The answer to the `quota` frame with that stamp. `needed`: teams that recently lacked tokens, whose tokens entries should return first. */
   z.object({
     type: z.literal('quota_grant'),
     stamp: z.number(),
     bankStamp: z.number(),
-    grants: z.array(TokenAge),
-    needed: z.array(z.string().max(longestTeam)),
-    servers: z.array(RequestAge).optional()
+    grants: z.array(AgedTokens),
+    needed: z.array(z.string().max(maxTeamNameLength)),
+    servers: z.array(AgedRequests).optional()
   }),
   /**
    * Attempt reports: server crashes during requests, requests that completed, limits stated by servers, and probes, which are
    * runs of requests whose quarantine has expired. A frame from an entry is acknowledged with its `stamp`. `ask`: a request whose
    * quarantine has expired and which the sender asks to run as a probe.
    */
-  z.object({ type: z.literal('crashes'), stamp: z.number(), crashes: z.array(CrashAge).max(mostCrashes), sound: z.array(SoundAge).max(mostCrashes), limits: z.array(LimitAge).max(mostLimits).optional(), probes: z.array(SoundAge).max(mostCrashes).optional(), ask: RequestFingerprint.optional() }),
+  z.object({ type: z.literal('crashes'), stamp: z.number(), crashes: z.array(CrashReport).max(maxCrashesPerFrame), sound: z.array(CompletedRunReport).max(maxCrashesPerFrame), limits: z.array(LimitReport).max(maxLimitsPerFrame).optional(), probes: z.array(CompletedRunReport).max(maxCrashesPerFrame).optional(), ask: RequestFingerprint.optional() }),
   /** Acknowledges the `crashes` frame with that stamp, which is also relayed to the subscribed entries. `granted`: whether the probe may be run. */
   z.object({ type: z.literal('crashes_noted'), stamp: z.number(), granted: z.boolean().optional() }),
   Appointment,
   /** The adapter that the receiver asked for has been loaded. */
   z.object({ type: z.literal('arrived'), key: AdapterKey, version: z.number() }),
   /** The adapter can't be loaded now. */
-  z.object({ type: z.literal('declined'), key: AdapterKey, reason: z.string().max(longestReason) }),
+  z.object({ type: z.literal('declined'), key: AdapterKey, reason: z.string().max(maxReasonLength) }),
   /**
    * For each adapter that was used: its key, its uses since the previous such frame, and its requests in progress. `unread`: prompt
    * tokens of the sender's requests that the engine has not processed yet.
    */
-  z.object({ type: z.literal('uses'), uses: z.array(z.tuple([AdapterKey, Count, Count])).max(mostUses), unread: Count.optional() }),
+  z.object({ type: z.literal('uses'), uses: z.array(z.tuple([AdapterKey, Count, Count])).max(maxUsesPerFrame), unread: Count.optional() }),
   /** The highest fencing token that the receiver is known to have used, or the newest known revision; it must not use a lower one. */
   z.object({ type: z.literal('fences'), highest: Count }),
-  z.object({ type: z.literal('heartbeat'), revision: Revision, load: Load.optional(), complete: Complete.optional(), sight: StoreSight.optional() }),
+  z.object({ type: z.literal('heartbeat'), revision: Revision, load: LoadReport.optional(), complete: CompleteRevisions.optional(), sight: StoreSight.optional() }),
   z.object({ type: z.literal('run'), id: ExchangeId, work: Work }),
   z.object({ type: z.literal('head'), id: ExchangeId, status: z.number().int(), headers: Headers, resident: z.boolean() }),
   z.object({ type: z.literal('chunk'), id: ExchangeId, sequence: z.number().int().nonnegative(), data: Bytes }),
-  z.object({ type: z.literal('end'), id: ExchangeId, chunks: z.number().int().nonnegative(), bytes: z.number().int().nonnegative(), load: Load }),
-  z.object({ type: z.literal('failure'), id: ExchangeId, failure: Failure, load: Load.optional() }),
+  z.object({ type: z.literal('end'), id: ExchangeId, chunks: z.number().int().nonnegative(), bytes: z.number().int().nonnegative(), load: LoadReport }),
+  z.object({ type: z.literal('failure'), id: ExchangeId, failure: Failure, load: LoadReport.optional() }),
   z.object({ type: z.literal('cancel'), id: ExchangeId }),
   z.object({ type: z.literal('credit'), id: ExchangeId, bytes: z.number().int().positive() }),
   /** Asks for the configuration's head and for the listed shards, which the sender lacks. */
--- a/packages/wire/test/codec.test.ts
+++ b/packages/wire/test/codec.test.ts
@@ -1,4 +1,4 @@
-import { FrameReader, encode, maxFrameBytes, type Frame } from '@finchpitch/wire'
+import { FrameDecoder, encodeFrame, maxFrameBytes, type Frame } from '@finchpitch/wire'
 import { Revision } from '@finchpitch/core'
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -14,8 +14,8 @@
 describe('codec', () => {
   it('decodes what was encoded, however the stream is split into chunks', () => {
     fc.assert(fc.property(frameArrays, fc.array(fc.integer({ min: 1, max: 50 }), { minLength: 1 }), (sent, chunkSizes) => {
-      const bytes = Buffer.concat(sent.map(encode))
-      const decoder = new FrameReader()
+      const bytes = Buffer.concat(sent.map(encodeFrame))
+      const decoder = new FrameDecoder()
       const received: Frame[] = []
       for (let offset = 0, turn = 0; offset < bytes.length; turn++) {
         const size = chunkSizes[turn % chunkSizes.length] ?? 1
@@ -29,7 +29,7 @@
 
   it('reports an error instead of throwing for arbitrary bytes', () => {
     fc.assert(fc.property(fc.uint8Array({ minLength: 4, maxLength: 200 }), bytes => {
-      const result = new FrameReader().read(bytes)
+      const result = new FrameDecoder().read(bytes)
       expect(result.isOk() || result.error.code.startsWith('frame_')).to.equal(true)
     }), { seed: 2, numRuns: 500 })
   })
@@ -37,13 +37,13 @@
   it('rejects a frame above the size limit from its length prefix alone', () => {
     const length = Buffer.alloc(4)
     length.writeUInt32BE(maxFrameBytes + 1)
-    expect(new FrameReader().read(length)._unsafeUnwrapErr().code).to.equal('frame_too_large')
+    expect(new FrameDecoder().read(length)._unsafeUnwrapErr().code).to.equal('frame_too_large')
   })
 
   it('reports the offset and the field of a frame that does not match the schema', () => {
-    const good = encode({ type: 'cancel', id: 1 })
-    const bad = encode({ type: 'cancel', id: -1 } as Frame)
-    const fault = new FrameReader().read(Buffer.concat([good, bad]))._unsafeUnwrapErr()
+    const good = encodeFrame({ type: 'cancel', id: 1 })
+    const bad = encodeFrame({ type: 'cancel', id: -1 } as Frame)
+    const fault = new FrameDecoder().read(Buffer.concat([good, bad]))._unsafeUnwrapErr()
     expect(fault.code).to.equal('frame_not_valid')
     expect(fault.path).to.match(new RegExp(`^byte ${good.length}, id`))
   })
--- a/packages/wire/test/quick-check.test.ts
+++ b/packages/wire/test/fast-validation.test.ts
@@ -1,4 +1,4 @@
-import { Frame, mostUses, surelyFrame } from '@finchpitch/wire'
+import { Frame, maxUsesPerFrame, passesFastValidation } from '@finchpitch/wire'
 import { expect } from 'chai'
 import fc from 'fast-check'
 
@@ -31,7 +31,7 @@
 
 const uses = fc.record({
   type: fc.constantFrom('uses', 'uses', 'holding'),
-  uses: fc.oneof(fc.array(fc.tuple(key, count, count), { maxLength: 3 }), fc.constantFrom([['m/a', 1]], [['m/a', 1, 1, 1]], [[1, 1, 1]], null, Array.from({ length: mostUses + 1 }, () => ['m/a', 1, 1]))),
+  uses: fc.oneof(fc.array(fc.tuple(key, count, count), { maxLength: 3 }), fc.constantFrom([['m/a', 1]], [['m/a', 1, 1, 1]], [[1, 1, 1]], null, Array.from({ length: maxUsesPerFrame + 1 }, () => ['m/a', 1, 1]))),
   unread: count
 }, { requiredKeys: [] })
 
@@ -84,7 +84,7 @@
 describe('the fast path of frame validation', () => {
   it('accepts only frames that the schema accepts unchanged', () => {
     fc.assert(fc.property(frames, frame => {
-      if (!surelyFrame(frame)) return
+      if (!passesFastValidation(frame)) return
       const parsed = Frame.safeParse(frame)
       expect(parsed.error).to.equal(undefined)
       expect(parsed.data).to.deep.equal(frame)
@@ -92,17 +92,17 @@
   })
 
   it('accepts the most frequent frames', () => {
-    expect(surelyFrame({ type: 'holding', host: '10.0.0.1', running: 3 })).to.equal(true)
-    expect(surelyFrame({ type: 'holding', host: '10.0.0.1', came: { 'm/a': 1 }, went: ['m/b'], coming: [], server: null })).to.equal(true)
-    expect(surelyFrame({ type: 'uses', uses: [['m/a', 1, 0]], unread: 3 })).to.equal(true)
-    expect(surelyFrame({ type: 'want', key: 'm/a', waiting: 1, priority: 4 })).to.equal(true)
-    expect(surelyFrame({ type: 'fresh', stamp: 3.5, revision: 7, ageMs: 0 })).to.equal(true)
-    expect(surelyFrame({ type: 'quota', stamp: 1, echo: { stamp: 2, heldMs: 3 }, gives: [['red', 5, 0.5]], wants: [['blue', 1]] })).to.equal(true)
-    expect(surelyFrame({ type: 'quota_grant', stamp: 1, bankStamp: 2, grants: [], needed: ['red'] })).to.equal(true)
-    expect(surelyFrame({ type: 'heartbeat', revision: 3, complete: { table: 1, server: 2.5, version: 0 }, sight: 'resting' })).to.equal(true)
+    expect(passesFastValidation({ type: 'holding', host: '10.0.0.1', running: 3 })).to.equal(true)
+    expect(passesFastValidation({ type: 'holding', host: '10.0.0.1', came: { 'm/a': 1 }, went: ['m/b'], coming: [], server: null })).to.equal(true)
+    expect(passesFastValidation({ type: 'uses', uses: [['m/a', 1, 0]], unread: 3 })).to.equal(true)
+    expect(passesFastValidation({ type: 'want', key: 'm/a', waiting: 1, priority: 4 })).to.equal(true)
+    expect(passesFastValidation({ type: 'fresh', stamp: 3.5, revision: 7, ageMs: 0 })).to.equal(true)
+    expect(passesFastValidation({ type: 'quota', stamp: 1, echo: { stamp: 2, heldMs: 3 }, gives: [['red', 5, 0.5]], wants: [['blue', 1]] })).to.equal(true)
+    expect(passesFastValidation({ type: 'quota_grant', stamp: 1, bankStamp: 2, grants: [], needed: ['red'] })).to.equal(true)
+    expect(passesFastValidation({ type: 'heartbeat', revision: 3, complete: { table: 1, server: 2.5, version: 0 }, sight: 'resting' })).to.equal(true)
   })
 
   for (const [description, value] of Object.entries({ 'a string': 'holding', null: null, 'a missing host': { type: 'holding' }, 'an unknown field': { type: 'holding', host: 'h', other: 1 }, 'a field named like a method of all objects': { type: 'holding', host: 'h', toString: 1 } })) {
-    it(`leaves ${description} to the schema`, () => { expect(surelyFrame(value)).to.equal(false) })
+    it(`leaves ${description} to the schema`, () => { expect(passesFastValidation(value)).to.equal(false) })
   }
 })
