--- a/packages/fleet/src/entry/attempt-reporter.ts
+++ b/packages/fleet/src/entry/attempt-reporter.ts
@@ -21,7 +21,7 @@
 /** A side process that didn't acknowledge a report is skipped for this long. */
 const skipMs = 5000
 /** Enough for each side process of a small domain to be tried. */
-const maxAttempts = 5
+const maxTries = 5
 
 /** A side process that reports may be sent to. */
 export interface ReportTarget {
@@ -46,7 +46,7 @@
   host: string | undefined
   /** Stamp of the last frame sent to it; `undefined` until its channel is open. */
   stamp: number | undefined
-  attemptedAt: number
+  triedAt: number
   tries: number
 }
 
@@ -86,7 +86,7 @@
   }
 
   #sendToDomain (reports: AttemptReports, domain: string): void {
-    const pending: PendingReport = { reports, domain, host: undefined, stamp: undefined, attemptedAt: -Infinity, tries: 0 }
+    const pending: PendingReport = { reports, domain, host: undefined, stamp: undefined, triedAt: -Infinity, tries: 0 }
     this.#pending.add(pending)
     this.#tryNext(pending)
     this.#checkTimer ??= setInterval(() => this.#checkPending(), checkIntervalMs)
@@ -95,7 +95,7 @@
   #checkPending (): void {
     for (const pending of this.#pending) {
       if (pending.stamp === undefined) this.#send(pending)
-      if (nowMs() - pending.attemptedAt < ackTimeoutMs) continue
+      if (nowMs() - pending.triedAt < ackTimeoutMs) continue
       if (pending.host !== undefined) this.#rendezvous.skip(pending.host)
       this.#tryNext(pending)
     }
@@ -109,14 +109,14 @@
   }
 
   #tryNext (pending: PendingReport): void {
-    if (pending.tries >= maxAttempts) {
+    if (pending.tries >= maxTries) {
       this.#pending.delete(pending)
       this.options.log.warn('crashes.not_passed_on', { domain: pending.domain, crashes: pending.reports.crashes.length, sound: pending.reports.sound.length, limits: pending.reports.limits.length, tries: pending.tries })
       return
     }
     pending.host = this.#chooseHost(pending.domain)
     pending.tries += 1
-    pending.attemptedAt = nowMs()
+    pending.triedAt = nowMs()
     pending.stamp = undefined
     this.#send(pending)
   }
--- a/packages/fleet/src/entry/attempt.ts
+++ b/packages/fleet/src/entry/attempt.ts
@@ -79,12 +79,12 @@
   } catch (error) {
     return resolve({ type: 'not_sent', detail: (error as Error).message })
   }
-  let connected = false
+  let sent = false
   let finished = false
   const connectTimer = setTimeout(() => setImmediate(abortConnect), connectMs)
   /** Runs after pending socket events: when this process has stalled, its timers fire before it sees that the connection is up. */
   const abortConnect = (): void => {
-    if (!connected) request.destroy(new Error(`connection not established within ${connectMs} ms`))
+    if (!sent) request.destroy(new Error(`connection not established within ${connectMs} ms`))
   }
   const finish = (result: AttemptResult): void => {
     if (finished) return
@@ -94,7 +94,7 @@
     resolve(result)
   }
   const cancel = (): void => {
-    finish({ type: 'cancelled', sent: connected })
+    finish({ type: 'cancelled', sent })
     request.destroy()
   }
   const unsubscribe = cancellation.onCancel(cancel)
@@ -107,7 +107,7 @@
       request.destroy()
       return
     }
-    connected = true
+    sent = true
     request.end(outgoing.body.length === 0 ? undefined : outgoing.body)
   }
   request.on('socket', socket => {
@@ -120,7 +120,7 @@
   })
   // Must settle before the end of the response does: Node treats a connection reset as the end of a response without a length.
   request.on('error', error => {
-    if (!connected) return finish({ type: 'not_sent', detail: error.message })
+    if (!sent) return finish({ type: 'not_sent', detail: error.message })
     finish({ type: options.callerResponse.started ? 'interrupted' : 'broken', detail: error.message })
   })
   request.on('response', response => {
@@ -175,23 +175,23 @@
   response.on('close', () => resolve({ type: 'broken', detail: 'connection closed before the end of the response' }))
 })
 
-const forwardStream = (response: IncomingMessage, status: number, { callerResponse: delivery, eventFramer: framer }: AttemptOptions): Promise<AttemptResult> => new Promise(resolve => {
-  if (!delivery.started) delivery.startStream(status, response.rawHeaders)
+const forwardStream = (response: IncomingMessage, status: number, { callerResponse, eventFramer }: AttemptOptions): Promise<AttemptResult> => new Promise(resolve => {
+  if (!callerResponse.started) callerResponse.startStream(status, response.rawHeaders)
   let bytes = 0
   const resume = (): void => { response.resume() }
   const interrupted = (detail: string): void => {
-    framer?.discardPartial()
+    eventFramer?.discardPartial()
     resolve({ type: 'interrupted', detail })
   }
   response.on('data', (chunk: Buffer) => {
     bytes += chunk.length
-    const ready = delivery.write(framer === undefined ? chunk : framer.push(chunk), resume)
+    const ready = callerResponse.write(eventFramer === undefined ? chunk : eventFramer.push(chunk), resume)
     if (!ready) response.pause()
   })
   response.on('error', error => interrupted(error.message))
   response.on('end', () => {
     if (!response.complete) return interrupted('response stream incomplete')
-    if (framer !== undefined && framer.partial.length > 0) return interrupted('response stream ended within an event')
+    if (eventFramer !== undefined && eventFramer.partial.length > 0) return interrupted('response stream ended within an event')
     resolve({ type: 'streamed', status, bytes })
   })
   response.on('close', () => interrupted('connection closed before the end of the response stream'))
--- a/packages/fleet/src/entry/balancer.ts
+++ b/packages/fleet/src/entry/balancer.ts
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Backs off from a server that asked for it (503 with `Retry-After`). The backoff binds the whole entry: when it bound only
-   * the request that it was sent in answer to, a server that had asked for 3 s got 10 to 25 requests in each second of them.
+   * Backs off from a server that asked for it (503 with `Retry-After`). The backoff applies to the whole entry: when it applied
+   * only to the request that was refused, a server that had asked for 3 s got 10 to 25 requests in each second of them.
    * `state`: of the incarnation that asked; a later one is not affected.
    */
   backOff (server: BackendServer, state: ServerState, askedMs: number, request: string): void {
@@ -152,7 +152,7 @@
     return [...this.#restricted].filter(id => this.states.get(id)?.backoff.active(now) === true).length
   }
 
-  /** Whether a request may be written to the server now: it is neither draining nor in backoff. */
+  /** Whether a request may be sent to the server now: it is neither draining nor in backoff. */
   isAvailable (server: BackendServer): boolean {
     return this.facts.servers.get(server.id)?.leaving !== true && !this.state(server).backoff.active(nowMs())
   }
@@ -199,7 +199,7 @@
     return chooseEngine(this.#engineSelection(servers, key, selection))
   }
 
-  /** Records that the first byte of an answer arrived. */
+  /** Records that the first byte of a response arrived. */
   recordFirstByte ({ sentAt, tokens, tokensAhead }: PendingRequest): void {
     const now = nowMs()
     if (tokensAhead < tokens * uncontendedShare) this.prefillRate.add(now - sentAt, tokens, now)
--- a/packages/fleet/src/entry/caller-response.ts
+++ b/packages/fleet/src/entry/caller-response.ts
@@ -76,10 +76,10 @@
     this.response.flushHeaders()
   }
 
-  /** Returns false under backpressure; `drained` is called once more may be written. */
-  write (chunk: Buffer, drained: () => void): boolean {
+  /** Returns false under backpressure; `onDrain` is called once more may be written. */
+  write (chunk: Buffer, onDrain: () => void): boolean {
     if (chunk.length === 0 || this.response.write(chunk)) return true
-    this.response.once('drain', drained)
+    this.response.once('drain', onDrain)
     return false
   }
 
@@ -87,7 +87,7 @@
     this.response.end()
   }
 
-  /** Closes the connection, so that a partial response can't be taken for a complete one. */
+  /** Aborts the response by closing the connection, so that a partial response can't be taken for a complete one. */
   cut (): void {
     this.response.destroy()
   }
--- a/packages/fleet/src/entry/crash-tracker.ts
+++ b/packages/fleet/src/entry/crash-tracker.ts
@@ -102,14 +102,14 @@
   }
 
   /** Counts the failed attempts at the address of a newly listed server, or of a new incarnation, as crashes of its predecessor. */
-  #checkReplaced (by: BackendServer): void {
+  #checkReplaced (replacement: BackendServer): void {
     if (this.#unconfirmed.length === 0) return
     const now = nowMs()
     const recent = this.#unconfirmed.filter(each => now - each.endedAt < replacementMs)
-    const crashed = recent.filter(({ server }) => server.address === by.address && (server.id !== by.id || isEarlierIncarnation(server.bornAt, by.bornAt)))
+    const crashed = recent.filter(({ server }) => server.address === replacement.address && (server.id !== replacement.id || isEarlierIncarnation(server.bornAt, replacement.bornAt)))
     this.#unconfirmed = recent.filter(each => !crashed.includes(each))
     if (crashed.length === 0) return
-    this.options.log.info('server.replaced', { by: by.id, brokeOff: crashed.map(each => each.fingerprint), agoMs: Math.round(now - (crashed[0]?.endedAt ?? now)) })
+    this.options.log.info('server.replaced', { by: replacement.id, brokeOff: crashed.map(each => each.fingerprint), agoMs: Math.round(now - (crashed[0]?.endedAt ?? now)) })
     this.#recordOwnCrashes(crashed)
   }
 
--- a/packages/fleet/src/entry/entry-process.ts
+++ b/packages/fleet/src/entry/entry-process.ts
@@ -91,7 +91,7 @@
   readonly #keyLease: KeyLease
   readonly #leaseKeeper: LeaseKeeper
   readonly #tableConfirmation: TableConfirmation
-  readonly #entryCeiling = new EntryCountBound()
+  readonly #entryCountBound = new EntryCountBound()
   /** Upper bound of the number of entries, as of the last sweep. */
   #maxEntries: number
   readonly #quotas: Quotas
@@ -101,9 +101,9 @@
   readonly #serverFaults: ServerFaults
   readonly #serverLimits: ServerLimits
   readonly #feedbackHandler: ServerFeedbackHandler
-  readonly #crashes: CrashTracker
-  readonly #attemptReports: AttemptReporter
-  readonly #probes: ProbeRequester
+  readonly #crashTracker: CrashTracker
+  readonly #attemptReporter: AttemptReporter
+  readonly #probeRequester: ProbeRequester
   readonly #stop = new AbortController()
   readonly #startedAt = nowMs()
   #stopping = false
@@ -114,11 +114,11 @@
   constructor (private readonly options: EntryProcessOptions) {
     const { facts, domain, limits, log, process, sidePort, channel, dial, sources } = options
     this.#keyLease = new KeyLease(facts, limits)
-    this.#maxEntries = this.#entryCeiling.update(undefined, 0)
-    this.#attemptReports = new AttemptReporter({ sideProcesses: () => this.#sideLinks.sideProcesses, channelTo: host => this.#sideLinks.channelTo(host), log })
+    this.#maxEntries = this.#entryCountBound.update(undefined, 0)
+    this.#attemptReporter = new AttemptReporter({ sideProcesses: () => this.#sideLinks.sideProcesses, channelTo: host => this.#sideLinks.channelTo(host), log })
     this.#serverLimits = new ServerLimits({
       entries: () => this.#maxEntries,
-      reporter: this.#attemptReports,
+      reporter: this.#attemptReporter,
       exchangeNow: async () => await this.#quotaExchange.exchangeNow(),
       waiting: service => this.#queue.limitedAhead(service, Infinity),
       onChange: () => this.#queue.scheduleScan(),
@@ -140,15 +140,15 @@
       onEngineChange: keys => this.#queue.scheduleScan(keys),
       granted: (host, channel, frame) => this.#quotaExchange.handleGrant(host, channel, frame),
       crashes: (frame, from) => {
-        this.#crashes.handleReport(frame, from)
+        this.#crashTracker.handleReport(frame, from)
         this.#serverLimits.handleReport(frame, from)
       },
       onReportAcknowledged: (host, stamp, granted) => {
-        this.#attemptReports.handleAck(host, stamp)
-        this.#probes.handleAnswer(host, stamp, granted)
+        this.#attemptReporter.handleAck(host, stamp)
+        this.#probeRequester.handleAnswer(host, stamp, granted)
       },
       onLocalConnect: side => {
-        this.#crashes.sendAll(side)
+        this.#crashTracker.sendAll(side)
         this.#serverLimits.sendAll(side)
       },
       onAppointmentsChange: () => this.#storeWatch.check()
@@ -168,8 +168,8 @@
     this.#tableConfirmation = new TableConfirmation({ facts, limits, links: this.#sideLinks, watch: this.#storeWatch })
     this.#feedbackHandler = new ServerFeedbackHandler({ facts, balancer: this.#balancer, queue: this.#queue, serverLimits: this.#serverLimits })
     this.#serverFaults = new ServerFaults(this.#balancer, this.counters, log)
-    this.#probes = new ProbeRequester({ hosts: () => this.#sideLinks.hosts, channelTo: host => this.#sideLinks.channelTo(host), log })
-    this.#crashes = new CrashTracker({ facts, liveness: new ServerLiveness(), reporter: this.#attemptReports, requestProbe: async fingerprint => await this.#probes.ask(fingerprint), onQuarantine: () => this.#queue.scheduleScan(), counters: this.counters, log })
+    this.#probeRequester = new ProbeRequester({ hosts: () => this.#sideLinks.hosts, channelTo: host => this.#sideLinks.channelTo(host), log })
+    this.#crashTracker = new CrashTracker({ facts, liveness: new ServerLiveness(), reporter: this.#attemptReporter, requestProbe: async fingerprint => await this.#probeRequester.ask(fingerprint), onQuarantine: () => this.#queue.scheduleScan(), counters: this.counters, log })
     this.#retryBudget = new RetryBudget(limits, () => this.#sideLinks.entries)
     this.server = createServer({ maxHeaderSize: maxHeaderBytes, connectionsCheckingInterval: 1000, requestTimeout: 0 })
     this.#callerConnections = new CallerConnections(this.server)
@@ -238,16 +238,16 @@
     this.options.log.info('entry.stopped', { running: this.#running, ms: Math.round(performance.now() - startedAt) })
     clearInterval(idleSweep)
     this.#stop.abort()
-    this.#attemptReports.close()
+    this.#attemptReporter.close()
     this.#sideLinks.close()
   }
 
   async #serve (request: import('node:http').IncomingMessage, response: import('node:http').ServerResponse): Promise<void> {
-    const { facts, headerNames: names, log } = this.options
+    const { facts, headerNames, log } = this.options
     this.#running += 1
     try {
       const serviceRequest = new ServiceRequest({
-        facts, balancer: this.#balancer, queue: this.#queue, budget: this.#retryBudget, faults: this.#serverFaults, serverLimits: this.#serverLimits, feedbackHandler: this.#feedbackHandler, crashes: this.#crashes, connectTimeout: this.#connectTimeout, lease: this.#keyLease, quotas: this.#quotas, confirmation: this.#tableConfirmation, staleTableRetryMs: () => this.#leaseKeeper.retryMs, firstAttempts: this.#firstAttempts, names, counters: this.counters, log, stopping: this.#stoppedListening, tableLoaded: () => this.#awaitTable(), noTableRetryMs: () => this.#noTableRetryMs, closeAfterResponse: () => this.#stopping || !this.#keyLease.held || this.#callerConnections.shouldClose(request.socket)
+        facts, balancer: this.#balancer, queue: this.#queue, budget: this.#retryBudget, faults: this.#serverFaults, serverLimits: this.#serverLimits, feedbackHandler: this.#feedbackHandler, crashes: this.#crashTracker, connectTimeout: this.#connectTimeout, lease: this.#keyLease, quotas: this.#quotas, confirmation: this.#tableConfirmation, staleTableRetryMs: () => this.#leaseKeeper.retryMs, firstAttempts: this.#firstAttempts, names: headerNames, counters: this.counters, log, stopping: this.#stoppedListening, tableLoaded: () => this.#awaitTable(), noTableRetryMs: () => this.#noTableRetryMs, closeAfterResponse: () => this.#stopping || !this.#keyLease.held || this.#callerConnections.shouldClose(request.socket)
       }, request, response)
       await serviceRequest.serve()
     } catch (error) {
@@ -306,14 +306,14 @@
     while (!signal.aborted) {
       await pause(sweepIntervalMs, signal)
       this.options.facts.expire()
-      this.#crashes.expire()
+      this.#crashTracker.expire()
       this.#serverLimits.expire(this.options.facts.servers.values())
       this.#balancer.expire()
       this.#leaseKeeper.check()
       this.#storeWatch.check()
       this.#seedDuty.setActive(this.#needsSeeds)
       const { entries } = this.#sideLinks
-      this.#maxEntries = this.#entryCeiling.update(entries, this.options.facts.servers.size)
+      this.#maxEntries = this.#entryCountBound.update(entries, this.options.facts.servers.size)
       this.#updateEntryCount(entries ?? 0)
     }
   }
@@ -360,8 +360,8 @@
     const channel = new Channel(stream, this.options.channel)
     const check = setInterval(() => { if (!needed()) channel.close() }, seedCheckIntervalMs)
     const link = new FactLink(facts, channel, forwardDelayMs.entry, log)
-    void channel.helloReceived.then(welcome => {
-      if (!welcome) return
+    void channel.helloReceived.then(received => {
+      if (!received) return
       link.start(forwardDelayMs.newcomer)
       log.info('peer.joined', { peer: channel.peer.process })
     })
--- a/packages/fleet/src/entry/key-lease.ts
+++ b/packages/fleet/src/entry/key-lease.ts
@@ -3,9 +3,9 @@
  * key was revoked, may be.
  *
  * Of the time within which a revoked key must stop working, a fifth is reserved for requests in transit to their server. The
- * rest is divided so that each way to get a proof can be tried twice before the lease expires: from 0.3 on, an entry that reads
+ * rest is divided so that each way to get a proof can be tried twice before the lease expires: from 0.3 on, an entry that watches
  * the store asks the store, and the others ask a side process in their failure domain; from 0.4 on, one in another failure
- * domain; from 0.5 on, they read the store themselves.
+ * domain; from 0.5 on, they watch the store themselves.
  */
 import type { Facts } from '../facts.js'
 import type { Limits } from '../ports.js'
--- a/packages/fleet/src/entry/local-replies.ts
+++ b/packages/fleet/src/entry/local-replies.ts
@@ -75,9 +75,9 @@
 
   /** The request may have run. */
   fail (status: 502 | 504, reason: string): string {
-    const { record, callerResponse: delivery } = this.options
+    const { record, callerResponse } = this.options
     record.reason = reason
-    delivery.sendLocalReply(status, {}, `may have run: ${reason}`)
+    callerResponse.sendLocalReply(status, {}, `may have run: ${reason}`)
     return 'failed'
   }
 
@@ -90,17 +90,17 @@
 
   /** Rejects the request for good. */
   end (reason: FinalReason): string {
-    const { incoming, callerResponse: delivery } = this.options
+    const { incoming, callerResponse } = this.options
     incoming.message.resume()
-    delivery.sendLocalReply(finalStatuses[reason], {}, finalMessages[reason])
+    callerResponse.sendLocalReply(finalStatuses[reason], {}, finalMessages[reason])
     return reason
   }
 
   #rejectNotRun (status: 429 | 503, reason: string, message: string, retryAfterMs: number): void {
-    const { incoming, record, callerResponse: delivery, names } = this.options
+    const { incoming, record, callerResponse, names } = this.options
     // Drains the body: unread bytes would precede the next request on this connection.
     incoming.message.resume()
     record.reason = reason
-    delivery.sendLocalReply(status, { [names.retryAfter]: String(retryAfterMs / 1000) }, message)
+    callerResponse.sendLocalReply(status, { [names.retryAfter]: String(retryAfterMs / 1000) }, message)
   }
 }
--- a/packages/fleet/src/entry/probe-requester.ts
+++ b/packages/fleet/src/entry/probe-requester.ts
@@ -22,7 +22,7 @@
   log: Log
 }
 
-interface PendingRequest {
+interface PendingProbe {
   host: string
   granted: boolean
   answered: AbortController
@@ -31,7 +31,7 @@
 export class ProbeRequester {
   readonly #rendezvous = new RendezvousSelector({ purpose: 'probes', skipMs, now: nowMs })
   /** By the stamps of their frames. These are negative, to distinguish them from the stamps of attempt reports. */
-  readonly #pending = new Map<number, PendingRequest>()
+  readonly #pending = new Map<number, PendingProbe>()
   #stamp = 0
 
   constructor (private readonly options: ProbeRequesterOptions) {}
@@ -46,7 +46,7 @@
     if (host === undefined || channel === undefined) return false
     this.#stamp -= 1
     const stamp = this.#stamp
-    const pending: PendingRequest = { host, granted: false, answered: new AbortController() }
+    const pending: PendingProbe = { host, granted: false, answered: new AbortController() }
     this.#pending.set(stamp, pending)
     channel.send({ type: 'crashes', stamp, crashes: [], sound: [], ask: fingerprint })
     await pause(answerTimeoutMs, pending.answered.signal)
--- a/packages/fleet/src/entry/quotas.ts
+++ b/packages/fleet/src/entry/quotas.ts
@@ -14,13 +14,13 @@
 
 /** Half-life of the average of the demand: it follows a surge within half a second, and single requests hardly count. */
 const demandHalfLifeMs = 500
-/** An entry keeps tokens in reserve for its demand, and from its own share, of this time: two exchanges. */
+/** The reserve covers the demand of this time, and at least the entry's own share of the quota for it: two exchanges. */
 const reserveMs = 500
 /** It requests tokens when it has less than this share of the reserve. As a result, most exchanges request none. */
 const lowWatermark = 0.5
-/** The reserve covers this many requests of average size, or most requests of a team with a small share would wait for an exchange, */
+/** The reserve covers this many requests of average size. Otherwise most requests of a team with a small share would wait for an exchange. */
 const reserveRequests = 2
-/** but at most this share of the tokens that the entry earns within their lifetime: other entries need the rest, and it expires if kept. */
+/** Of the tokens earned within their lifetime, at most this share is kept for these requests: the other entries need the remainder, which expires if kept. */
 const maxReserveShare = 0.6
 /** Weight of a request in the moving average of request sizes. */
 const sizeWeight = 0.1
@@ -31,7 +31,7 @@
 /** Bounds of the time after which a rejected caller is told to retry. */
 const retryRange = { minMs: 100, maxMs: 5000 }
 
-/** Tokens of prompt and answer together, as stated by the request in the form `prompt,answer`; `defaultTokens` if it states none. */
+/** Prompt tokens and maximum of output tokens together, as the request states them (`in,out`); `defaultTokens` if it states none. */
 export const statedTokens = (stated: string | undefined, defaultTokens: number): number => {
   const [tokensIn, tokensOut] = (stated ?? '').split(',').map(Number)
   const sum = (tokensIn ?? NaN) + (tokensOut ?? NaN)
--- a/packages/fleet/src/entry/request-queue.ts
+++ b/packages/fleet/src/entry/request-queue.ts
@@ -1,9 +1,9 @@
 /**
  * Queue of requests that wait in the entry for a free server or for an adapter to load, by rank and then in order of arrival.
  *
- * A request leaves the queue when a server is selected for it, when waiting can no longer help it, or when it is
- * cancelled or quarantined. The queue is scanned shortly after something changes that may let requests go on, and at intervals in case
- * a change went unnoticed.
+ * A request leaves the queue when a server is selected for it, when waiting can no longer help it, or when it is cancelled or
+ * quarantined. The queue is scanned shortly after a change that may let requests go on, and at intervals in case a change went
+ * unnoticed.
  */
 import { nowMs } from '../clock.js'
 import type { Cancellation } from './cancellation.js'
--- a/packages/fleet/src/entry/server-feedback-handler.ts
+++ b/packages/fleet/src/entry/server-feedback-handler.ts
@@ -20,7 +20,7 @@
   serverLimits: ServerLimits
 }
 
-/** The answer that the feedback came with. */
+/** The response that the feedback came with. */
 export interface FeedbackSource {
   server: BackendServer
   /** State of the incarnation that the request was sent to. */
--- a/packages/fleet/src/entry/server-feedback.ts
+++ b/packages/fleet/src/entry/server-feedback.ts
@@ -1,7 +1,7 @@
 /**
  * Feedback that a server sends about itself in the response headers: that it is draining, asks for backoff or advertises a limit.
  *
- * It is valid whatever the answer is, even if the body breaks off, the request is refused or the answer belongs to another
+ * It is valid whatever the response is, even if the body is truncated, the request is refused or the response belongs to another
  * request.
  */
 import type { IncomingMessage } from 'node:http'
@@ -26,17 +26,17 @@
 /** Status with which a server that asks for backoff rejects the request. */
 export const overloadedStatus = 503
 
-/** `undefined` if another server than `serverId` answered, as its headers say nothing about this one. */
-export const readServerFeedback = (answer: IncomingMessage, names: HeaderNames, serverId: string): ServerFeedback | undefined => {
-  const responder = headerOf(answer, names.serverId)
+/** `undefined` if the response came from a server other than `serverId`, as its headers say nothing about this one. */
+export const readServerFeedback = (response: IncomingMessage, names: HeaderNames, serverId: string): ServerFeedback | undefined => {
+  const responder = headerOf(response, names.serverId)
   if (responder !== undefined && responder !== serverId) return undefined
-  return { leaving: headerOf(answer, names.leaving)?.trim() === leavingValue, backoffMs: parseBackoff(answer, names), limitPerSecond: parseLimit(answer, names) }
+  return { leaving: headerOf(response, names.leaving)?.trim() === leavingValue, backoffMs: parseBackoff(response, names), limitPerSecond: parseLimit(response, names) }
 }
 
 /** Seconds, fractions allowed. Anything else asks for no backoff; values above `maxBackoffMs` are capped. */
-const parseBackoff = (answer: IncomingMessage, names: HeaderNames): number | undefined => {
-  if (answer.statusCode !== overloadedStatus) return undefined
-  const text = headerOf(answer, names.retryAfter)?.trim() ?? ''
+const parseBackoff = (response: IncomingMessage, names: HeaderNames): number | undefined => {
+  if (response.statusCode !== overloadedStatus) return undefined
+  const text = headerOf(response, names.retryAfter)?.trim() ?? ''
   const ms = text === '' ? NaN : Number(text) * 1000
   return ms > 0 ? Math.min(ms, maxBackoffMs) : undefined
 }
@@ -44,8 +44,8 @@
 /** A decimal number, including 0. */
 const decimalNumber = /^\d+(\.\d+)?$/
 
-const parseLimit = (answer: IncomingMessage, names: HeaderNames): number | undefined => {
-  const text = headerOf(answer, names.limit)?.trim()
+const parseLimit = (response: IncomingMessage, names: HeaderNames): number | undefined => {
+  const text = headerOf(response, names.limit)?.trim()
   if (text === undefined) return Infinity
   const perSecond = decimalNumber.test(text) ? Number(text) : NaN
   return Number.isFinite(perSecond) ? perSecond : undefined
--- a/packages/fleet/src/entry/server-liveness.ts
+++ b/packages/fleet/src/entry/server-liveness.ts
@@ -1,7 +1,7 @@
 /**
  * Tells whether a server has crashed or only a connection to it broke.
  *
- * To the request, a reset connection, a truncated answer and a crash of the server look alike. Connecting to the address tells
+ * To the request, a reset connection, a truncated response and a crash of the server look alike. Connecting to the address tells
  * them apart at once: after a crash it refuses connections until the server has restarted, some seconds later.
  */
 import { connect } from 'node:net'
@@ -28,7 +28,7 @@
 
   constructor (private readonly probe: (address: string) => Promise<boolean> = refusesConnections) {}
 
-  /** Whether the server has crashed. Requests that broke off together share one probe. */
+  /** Whether the server has crashed. Attempts that failed at the same time share one probe. */
   async ended ({ address }: BackendServer): Promise<boolean> {
     const pending = this.#probes.get(address)
     if (pending !== undefined) return await pending
--- a/packages/fleet/src/entry/server-state.ts
+++ b/packages/fleet/src/entry/server-state.ts
@@ -71,8 +71,8 @@
   #refusedLoad = 0
   #refusedUntil = -Infinity
 
-  /** `usesChanged`: called when its adapter use changes, which has to be reported to its side process. */
-  constructor (readonly id: string, maxConnections: number, private readonly usesChanged: (id: string) => void = () => {}, readonly bornAt?: number) {
+  /** `onUsesChange`: called when its adapter use changes, which has to be reported to its side process. */
+  constructor (readonly id: string, maxConnections: number, private readonly onUsesChange: (id: string) => void = () => {}, readonly bornAt?: number) {
     this.hash = hashOf(id)
     this.agent = createServerAgent(maxConnections)
   }
@@ -142,18 +142,18 @@
       uses.started += 1
       uses.running += 1
       this.uses.set(key, uses)
-      this.usesChanged(this.id)
+      this.onUsesChange(this.id)
     }
     return pending
   }
 
-  /** Records that the first byte of the answer arrived. */
+  /** Records that the first byte of the response arrived. */
   recordFirstByte (pending: PendingRequest): void {
     if (!this.#awaitingFirstByte.delete(pending)) return
     this.#ownUnread -= pending.tokens
     const now = nowMs()
     if (pending.tokens === 0) return
-    this.usesChanged(this.id)
+    this.onUsesChange(this.id)
     const tokens = pending.tokensAhead + pending.tokens
     this.#prefillRate.add(now - pending.sentAt, tokens, now)
     this.#rateOf(pending.priority).add(now - pending.sentAt, tokens, now)
@@ -166,7 +166,7 @@
     if (key === undefined) return
     const uses = this.uses.get(key)
     if (uses !== undefined) uses.running -= 1
-    this.usesChanged(this.id)
+    this.onUsesChange(this.id)
   }
 
   /** Whether a request has waited for its first byte for longer than its `patienceMs`. */
--- a/packages/fleet/src/entry/server-states.ts
+++ b/packages/fleet/src/entry/server-states.ts
@@ -13,8 +13,8 @@
   readonly holders = new Holders()
   readonly #states = new Map<string, ServerState>()
 
-  /** `usesChanged`: called with a server's id when its adapter use changes, which has to be reported to its side process. */
-  constructor (private readonly usesChanged: (id: string) => void = () => {}) {}
+  /** `onUsesChange`: called with a server's id when its adapter use changes, which has to be reported to its side process. */
+  constructor (private readonly onUsesChange: (id: string) => void = () => {}) {}
 
   /**
    * The state of a server, created or renewed if need be. `maxConnections` is `undefined` while its service is not in the routing
@@ -31,7 +31,7 @@
   #begin (id: string, maxConnections: number, bornAt: number | undefined): ServerState {
     this.#states.get(id)?.close()
     this.holders.update(id, undefined)
-    const state = new ServerState(id, maxConnections, this.usesChanged, bornAt)
+    const state = new ServerState(id, maxConnections, this.onUsesChange, bornAt)
     this.#states.set(id, state)
     return state
   }
--- a/packages/fleet/src/entry/service-request.ts
+++ b/packages/fleet/src/entry/service-request.ts
@@ -103,7 +103,7 @@
   readonly #admission: RequestAdmission
   readonly #times = new RequestTimes()
   readonly #record: RequestRecord
-  readonly #delivery: CallerResponse
+  readonly #callerResponse: CallerResponse
   readonly #localReplies: LocalReplies
   readonly #crashes: RequestCrashes
   readonly #selector: ServerSelector
@@ -123,11 +123,11 @@
   constructor (private readonly options: ServiceRequestOptions, request: IncomingMessage, response: ServerResponse) {
     this.#incoming = new IncomingRequest(request, options.names)
     this.#record = new RequestRecord(this.#incoming, this.#times)
-    this.#delivery = new CallerResponse(response, options.closeAfterResponse)
+    this.#callerResponse = new CallerResponse(response, options.closeAfterResponse)
     this.#admission = new RequestAdmission(options, this.#incoming)
     this.#crashes = new RequestCrashes(options.crashes, this.#incoming)
     this.#selector = new ServerSelector({ ...options, times: this.#times, record: this.#record, crashes: this.#crashes, cancellation: this.#cancellation })
-    this.#localReplies = new LocalReplies({ names: options.names, staleTableRetryMs: options.staleTableRetryMs, incoming: this.#incoming, callerResponse: this.#delivery, record: this.#record })
+    this.#localReplies = new LocalReplies({ names: options.names, staleTableRetryMs: options.staleTableRetryMs, incoming: this.#incoming, callerResponse: this.#callerResponse, record: this.#record })
     response.on('close', () => { if (!response.writableFinished) this.#cancellation.cancel() })
   }
 
@@ -219,16 +219,16 @@
 
   #onDeadline (): void {
     this.#deadlinePassed = true
-    if (!this.#delivery.started) this.#cancellation.cancel()
+    if (!this.#callerResponse.started) this.#cancellation.cancel()
     else setTimeout(() => this.#cancellation.cancel(), streamGraceMs)
   }
 
   async #attempt (server: BackendServer, selection: SelectionRequest, admitted: Admission, choice: SendChoice): Promise<Verdict> {
-    const { balancer, budget, names, counters, connectTimeout: connects, facts } = this.options
+    const { balancer, budget, names, counters, connectTimeout, facts } = this.options
     const table = facts.routes
     const { route } = admitted
-    const remaining = Math.floor(this.#times.leftMs)
-    if (remaining < minRemainingMs) return done(this.#mayHaveRun ? this.#localReplies.fail(504, 'timed_out') : this.#localReplies.refuse('too_late'))
+    const remainingMs = Math.floor(this.#times.leftMs)
+    if (remainingMs < minRemainingMs) return done(this.#mayHaveRun ? this.#localReplies.fail(504, 'timed_out') : this.#localReplies.refuse('too_late'))
     if (this.#record.tries === 0) budget.deposit(selection.service.name)
     if (this.#sentAttempts > 0 && !budget.tryWithdraw(selection.service.name)) return done(this.#giveUp('no_retry_left'))
     const state = balancer.state(server)
@@ -239,20 +239,20 @@
     const result = await attempt({
       agent: state.agent,
       address: server.address,
-      outgoing: buildOutgoingRequest(this.#incoming.message, this.#crashes.body, names, this.#outgoingContext(server, selection, admitted, remaining)),
+      outgoing: buildOutgoingRequest(this.#incoming.message, this.#crashes.body, names, this.#outgoingContext(server, selection, admitted, remainingMs)),
       requestId: this.#incoming.id,
       serverId: server.id,
       names,
-      connectMs: Math.min(connects.ms, remaining),
+      connectMs: Math.min(connectTimeout.ms, remainingMs),
       // If the table has changed, the request has to be admitted again.
       maySend: () => {
         sentAt = nowMs()
         return facts.routes === table && balancer.isAvailable(server) && this.#spend(server, admitted)
       },
-      onConnected: ms => connects.recordConnect(ms),
+      onConnected: ms => connectTimeout.recordConnect(ms),
       stream: route.kind === 'stream',
       eventFramer: this.#framer,
-      callerResponse: this.#delivery,
+      callerResponse: this.#callerResponse,
       cancellation: this.#cancellation,
       onResponse: () => {
         state.recordFirstByte(pending)
@@ -271,11 +271,11 @@
   /** Spends quota, advertised limit and probe grant just before the request is written. Returns whether it may be sent. */
   #spend (server: BackendServer, admitted: Admission): boolean {
     const { serverLimits } = this.options
-    const pass = serverLimits.acquire(server)
-    if (pass === undefined) return false
+    const permit = serverLimits.acquire(server)
+    if (permit === undefined) return false
     // Quarantine is rechecked here: attempts that were still connecting when a second server crashed would each crash one more.
     if (this.#crashes.spend(admitted.team) && this.#admission.spend(admitted)) return true
-    serverLimits.release(pass)
+    serverLimits.release(permit)
     return false
   }
 
@@ -288,38 +288,38 @@
     record.expectedMs = key === undefined ? undefined : expectedMs
   }
 
-  #outgoingContext (server: BackendServer, { key }: SelectionRequest, admitted: Admission, remaining: number): OutgoingContext {
+  #outgoingContext (server: BackendServer, { key }: SelectionRequest, admitted: Admission, remainingMs: number): OutgoingContext {
     const { balancer, facts } = this.options
     const engine = key === undefined ? undefined : { rank: this.#selector.rank(admitted, this.#incoming.promptTokens), version: balancer.heldVersion(server, key) }
     const keyed = facts.routes?.requiresKey === true
-    return { remainingMs: remaining, server: server.id, engine, team: admitted.team?.name, keyed, resumeAfter: this.#framer?.lastEventId }
+    return { remainingMs, server: server.id, engine, team: admitted.team?.name, keyed, resumeAfter: this.#framer?.lastEventId }
   }
 
   /** Decides what follows an attempt. */
-  #handleResult (result: AttemptResult, at: FinishedAttempt): Verdict {
-    const handle = ServiceRequest.#resultHandlers[result.type] as (self: ServiceRequest, result: AttemptResult, at: FinishedAttempt) => Verdict
-    return handle(this, result, at)
+  #handleResult (result: AttemptResult, finished: FinishedAttempt): Verdict {
+    const handle = ServiceRequest.#resultHandlers[result.type] as (self: ServiceRequest, result: AttemptResult, finished: FinishedAttempt) => Verdict
+    return handle(this, result, finished)
   }
 
   /** Handlers by the result of the attempt. */
-  static readonly #resultHandlers: { [Type in AttemptResult['type']]: (self: ServiceRequest, result: Extract<AttemptResult, { type: Type }>, at: FinishedAttempt) => Verdict } = {
+  static readonly #resultHandlers: { [Type in AttemptResult['type']]: (self: ServiceRequest, result: Extract<AttemptResult, { type: Type }>, finished: FinishedAttempt) => Verdict } = {
     streamed: (self, _result, { server, admitted }) => {
       self.options.balancer.state(server).outlier.recordSuccess()
       self.#crashes.completed(admitted.team)
-      self.#delivery.finish()
+      self.#callerResponse.finish()
       return done('streamed')
     },
-    answer: (self, { status, headers, body }, at) => {
+    answer: (self, { status, headers, body }, finished) => {
       const failed = status >= firstServerErrorStatus
-      if (failed) self.options.faults.failed(at.server, self.#incoming.id, `status ${status}`)
-      else self.options.balancer.state(at.server).outlier.recordSuccess()
+      if (failed) self.options.faults.failed(finished.server, self.#incoming.id, `status ${status}`)
+      else self.options.balancer.state(finished.server).outlier.recordSuccess()
       self.#possibleRuns += 1
-      self.#crashes.completed(at.admitted.team)
-      if (failed && self.#mayRunAgain(at)) {
+      self.#crashes.completed(finished.admitted.team)
+      if (failed && self.#mayRunAgain(finished)) {
         self.#mayHaveRun = true
         return retry
       }
-      self.#delivery.whole(status, headers, body, self.#incoming.message.method === 'HEAD' || bodylessStatuses.has(status))
+      self.#callerResponse.whole(status, headers, body, self.#incoming.message.method === 'HEAD' || bodylessStatuses.has(status))
       return done(`answered ${status}`)
     },
     not_sent: (self, { detail }, { server, selection }) => {
@@ -336,14 +336,14 @@
       return self.#retryElsewhere('refused', selection)
     },
     cancelled: (self, { sent }) => done(self.#endCancelled(sent)),
-    broken: (self, { detail }, at) => {
-      self.#recordBroken(at, detail)
-      return self.#mayRunAgain(at) ? retry : done(self.#localReplies.fail(502, 'broken'))
+    broken: (self, { detail }, finished) => {
+      self.#recordBroken(finished, detail)
+      return self.#mayRunAgain(finished) ? retry : done(self.#localReplies.fail(502, 'broken'))
     },
-    interrupted: (self, { detail }, at) => {
-      self.#recordBroken(at, detail)
-      if (!self.#cancellation.cancelled && self.#mayRunAgain(at)) return retry
-      self.#delivery.cut()
+    interrupted: (self, { detail }, finished) => {
+      self.#recordBroken(finished, detail)
+      if (!self.#cancellation.cancelled && self.#mayRunAgain(finished)) return retry
+      self.#callerResponse.cut()
       return done('interrupted')
     }
   }
@@ -382,8 +382,8 @@
   /** The caller disconnected, or the deadline passed. */
   #endCancelled (sent: boolean): string {
     if (!this.#deadlinePassed) return 'caller_left'
-    if (this.#delivery.started) {
-      this.#delivery.cut()
+    if (this.#callerResponse.started) {
+      this.#callerResponse.cut()
       return 'timed_out'
     }
     return sent || this.#mayHaveRun ? this.#localReplies.fail(504, 'timed_out') : this.#localReplies.refuse('timed_out')
--- a/packages/fleet/src/entry/side-link.ts
+++ b/packages/fleet/src/entry/side-link.ts
@@ -233,7 +233,7 @@
     if (this.#stop.signal.aborted) channel.close()
     const factLink = new FactLink(facts, channel, this.#factDelayMs, log)
     this.#factLink = factLink
-    void channel.helloReceived.then(welcome => { if (welcome) this.#handleConnect(channel, factLink) })
+    void channel.helloReceived.then(received => { if (received) this.#handleConnect(channel, factLink) })
     for await (const frame of channel.frames()) {
       this.#lastHeardAt = nowMs()
       this.#unansweredSince = Infinity
@@ -250,12 +250,12 @@
   }
 
   #handleConnect (channel: Channel, factLink: FactLink): void {
-    const { facts, fence, log, onConnectionChange: changed, onConnect: joined } = this.options
+    const { facts, fence, log, onConnectionChange, onConnect } = this.options
     this.#channel = channel
     this.#lastHeardAt = nowMs()
     channel.send({ type: 'fences', highest: Math.max(fence(), Math.floor(facts.revision)) })
-    // From this frame on, the side process assumes that everything heartbeats report as complete was sent to it, so the facts
-    // must be sent before the next heartbeat.
+    // From this frame on, the side process assumes that it was sent every fact which a heartbeat reports as complete, so the
+    // facts must be sent before the next heartbeat.
     this.#sendSubscriptions(channel)
     if (this.#dependent) channel.send({ type: 'depend', on: true })
     // A remote side process gets facts from its local entries and from other side processes; another copy over each link between
@@ -267,8 +267,8 @@
     if (this.#proofDue) requestProof(facts, channel)
     this.#proofDue = false
     log.info('side.joined', { host: this.host, process: channel.peer.process })
-    joined(channel)
-    changed()
+    onConnect(channel)
+    onConnectionChange()
   }
 
   #setAppointment (appointment: Appointment | undefined): void {
--- a/packages/fleet/src/entry/side-links.ts
+++ b/packages/fleet/src/entry/side-links.ts
@@ -108,7 +108,7 @@
     return [...this.#engines.keys()]
   }
 
-  /** All side processes. Remote ones count as responsive, since only sending them something shows whether they are. */
+  /** All side processes. Remote ones count as responsive, since only a frame sent to them shows whether they are. */
   get sideProcesses (): ReportTarget[] {
     return [...this.#engines].map(([host, { domain, link }]) => ({ host, domain, responsive: link.isResponsive || !link.isLocal }))
   }
@@ -230,13 +230,13 @@
 
   #addEngine (host: string, domain: string): LinkedEngine {
     const mirror = new EngineMirror()
-    const { onEngineChange: changed, onAppointmentsChange: appointmentsChanged, onLocalConnect: joinedNear } = this.options
+    const { onEngineChange, onAppointmentsChange, onLocalConnect } = this.options
     const link: SideLink = new SideLink(host, domain === this.options.domain, {
       ...this.options,
       fence: () => mirror.fence,
-      onConnectionChange: () => changed(undefined),
-      onConnect: channel => { if (link.isLocal) joinedNear(channel) },
-      onAppointmentChange: appointmentsChanged,
+      onConnectionChange: () => onEngineChange(undefined),
+      onConnect: channel => { if (link.isLocal) onLocalConnect(channel) },
+      onAppointmentChange: onAppointmentsChange,
       onFrame: (frame, channel) => this.#handleFrame(host, frame, channel)
     })
     if (link.isLocal) link.setSubscriptions([host])
@@ -245,13 +245,13 @@
 
   /** Hosts of the responsive local side processes and of all remote engines. */
   #sourceHosts (): SourceHosts {
-    const localHosts: string[] = []
-    const remoteHosts: string[] = []
+    const local: string[] = []
+    const remote: string[] = []
     for (const [host, { link }] of this.#engines) {
-      if (!link.isLocal) remoteHosts.push(host)
-      else if (link.isResponsive) localHosts.push(host)
+      if (!link.isLocal) remote.push(host)
+      else if (link.isResponsive) local.push(host)
     }
-    return { local: localHosts, remote: remoteHosts }
+    return { local, remote }
   }
 
   /** Selects the sources of updates and subscribes to them. */
@@ -264,9 +264,9 @@
    * An entry that does not watch the store depends on one local side process for facts. Rendezvous hashing spreads the entries
    * over the side processes.
    */
-  #selectFactSource ({ local: localHosts }: SourceHosts): void {
+  #selectFactSource ({ local }: SourceHosts): void {
     const { process, watching } = this.options
-    const factSource = watching() ? undefined : rendezvousHost(process, localHosts)
+    const factSource = watching() ? undefined : rendezvousHost(process, local)
     for (const [host, { link }] of this.#engines) if (link.isLocal) link.setDependent(host === factSource)
   }
 
@@ -317,7 +317,7 @@
     if (server === undefined) return
     const { reachable, held, coming, waiting, running, unread, bornAt, leaving } = mirror
     if (leaving && mirror.server === server.id) this.options.facts.markDraining({ id: server.id, bornAt }, `the side process at ${host}`)
-    // Unprefilled prompt tokens of this entry's own requests are counted here, and more precisely.
+    // The report includes this entry's own requests, whose unprefilled tokens the entry itself counts, and more precisely.
     const othersUnread = Math.max(0, unread - link.reportedUnread)
     this.options.states.applyReport(server.id, { at: nowMs(), reachable, held, coming: new Set(coming), waiting, running, unread: othersUnread }, bornAt)
   }
--- a/packages/fleet/src/entry/store-watch.ts
+++ b/packages/fleet/src/entry/store-watch.ts
@@ -46,10 +46,10 @@
   }
 
   run (signal: AbortSignal): void {
-    const { sources, facts, log, pauseMs: restMs } = this.options
+    const { sources, facts, log, pauseMs } = this.options
     const table = sources.find(source => source.kind === 'table')
     if (table !== undefined) this.#prover = new TableProver(table, facts, signal)
-    for (const source of sources) void watchFacts({ source, facts, log, signal, outage: this.#health, duty: this.#duty, pauseMs: restMs })
+    for (const source of sources) void watchFacts({ source, facts, log, signal, outage: this.#health, duty: this.#duty, pauseMs })
   }
 
   /** If this entry watches the store, gets a proof from there that the routing table is current, unless it has a recent one. */
@@ -59,8 +59,8 @@
 
   /** Updates the duty and the reported store access. */
   check (): void {
-    const { facts, appointments, lacksProof: unproven } = this.options
-    this.#updateDuty({ appointments: appointments(), hasSynced: facts.hasSynced, confirmedMs: nowMs() - facts.serversConfirmedAt, lacksProof: unproven() })
+    const { facts, appointments, lacksProof } = this.options
+    this.#updateDuty({ appointments: appointments(), hasSynced: facts.hasSynced, confirmedMs: nowMs() - facts.serversConfirmedAt, lacksProof: lacksProof() })
     facts.setSight(this.#sight())
   }
 
@@ -70,14 +70,14 @@
     this.options.log.info('store.duty_changed', { watch, reason, confirmedMs: Math.round(input.confirmedMs), ...revisionFields(this.options.facts.revision) })
     this.#duty.setActive(watch)
     // What this entry learned while others watched is sent to the side processes before the new sight is, since they take
-    // everything that an entry which reads the store reports as complete.
+    // all facts of an entry that reports `reading` as complete.
     this.options.onDutyChange()
   }
 
   #sight (): StoreSight {
     const now = nowMs()
     const { failing, answered } = this.#health
-    // During an outage the appointed entries keep calling the store. The others stay blind, or each would retry every 5 s.
+    // During an outage the appointed entries keep calling the store. The others keep reporting `blind`, or each would retry every 5 s.
     const outage = now < this.#blindUntil && this.options.appointments().some(each => each.outage)
     if (failing || outage) this.#blindUntil = now + blindMs
     if (this.#duty.on && answered && !failing) return this.options.facts.hasSynced ? 'reading' : 'resting'
--- a/packages/fleet/src/entry/table-confirmation.ts
+++ b/packages/fleet/src/entry/table-confirmation.ts
@@ -3,7 +3,7 @@
  *
  * A 404 or 401 tells a caller not to retry, so it is sent only if the table is proven current. An entry that watches the store
  * usually has a recent proof; the others ask a local side process. Requests that wait for a proof at the same time share one
- * question.
+ * request.
  */
 import { pause } from '@finchpitch/core'
 import { nowMs } from '../clock.js'
@@ -34,8 +34,8 @@
     return applyMs === undefined || facts.freshness.provenAt >= at - applyMs
   }
 
-  /** Requests a proof. Resolves with the next proof or the next table, or after `mostMs` or the request interval, whichever is shorter. */
-  async awaitProof (mostMs: number): Promise<void> {
+  /** Requests a proof. Resolves with the next proof or the next table, or after `maxWaitMs` or the request interval, whichever is shorter. */
+  async awaitProof (maxWaitMs: number): Promise<void> {
     const { facts } = this.options
     const arrived = new AbortController()
     const unsubscribe = [
@@ -43,7 +43,7 @@
       facts.freshness.onProof(() => arrived.abort())
     ]
     this.#requestProof()
-    await pause(Math.min(mostMs, requestIntervalMs), arrived.signal)
+    await pause(Math.min(maxWaitMs, requestIntervalMs), arrived.signal)
     for (const each of unsubscribe) each()
   }
 
--- a/packages/fleet/src/entry/update-sources.ts
+++ b/packages/fleet/src/entry/update-sources.ts
@@ -20,9 +20,9 @@
 }
 
 /** For the host of each engine, the host of the side process that sends its updates. */
-export const selectUpdateSources = ({ local: localHosts, remote: remoteHosts }: SourceHosts): Map<string, string> => {
-  const sources = new Map<string, string>(localHosts.map(host => [host, host]))
-  for (const host of remoteHosts) sources.set(host, rendezvousHost(host, localHosts) ?? host)
+export const selectUpdateSources = ({ local, remote }: SourceHosts): Map<string, string> => {
+  const sources = new Map<string, string>(local.map(host => [host, host]))
+  for (const host of remote) sources.set(host, rendezvousHost(host, local) ?? host)
   return sources
 }
 
@@ -73,14 +73,14 @@
   }
 
   /** Selects the sources again if the hosts have changed and are stable. Returns whether it did. */
-  select ({ local: localHosts, remote: remoteHosts }: SourceHosts): boolean {
+  select ({ local, remote }: SourceHosts): boolean {
     const now = nowMs()
     // Without remote engines no relay is needed. This includes the time before any engine is known.
-    if (localHosts.length > 0 || remoteHosts.length === 0) this.#noRelaySince = Infinity
+    if (local.length > 0 || remote.length === 0) this.#noRelaySince = Infinity
     else this.#noRelaySince = Math.min(this.#noRelaySince, now)
     const direct = now - this.#noRelaySince > noRelayTimeoutMs
-    if (!this.#hasSettled([direct, ...localHosts, '', ...remoteHosts].join(), now)) return false
-    this.#replace(localHosts.length > 0 || direct ? selectUpdateSources({ local: localHosts, remote: remoteHosts }) : new Map())
+    if (!this.#hasSettled([direct, ...local, '', ...remote].join(), now)) return false
+    this.#replace(local.length > 0 || direct ? selectUpdateSources({ local, remote }) : new Map())
     return true
   }
 
--- a/packages/fleet/src/entry/watch-duty.ts
+++ b/packages/fleet/src/entry/watch-duty.ts
@@ -28,13 +28,13 @@
   reason: 'nobody near to name watchers' | 'named' | 'nothing read yet' | 'nothing was confirmed' | 'keys are not confirmed' | 'left to others'
 }
 
-export const decideWatchDuty = ({ appointments, hasSynced: read, confirmedMs, lacksProof: unproven }: WatchDutyInput): WatchDuty => {
+export const decideWatchDuty = ({ appointments, hasSynced, confirmedMs, lacksProof }: WatchDutyInput): WatchDuty => {
   if (appointments.length === 0) return { watch: true, reason: 'nobody near to name watchers' }
   if (appointments.some(({ watch }) => watch)) return { watch: true, reason: 'named' }
-  if (!read) return { watch: true, reason: 'nothing read yet' }
+  if (!hasSynced) return { watch: true, reason: 'nothing read yet' }
   // During an outage the store has nothing to tell, and each further entry that watches only adds calls that fail.
   const outage = appointments.some(each => each.outage)
   if (confirmedMs > staleMs && !outage) return { watch: true, reason: 'nothing was confirmed' }
-  if (unproven && !outage) return { watch: true, reason: 'keys are not confirmed' }
+  if (lacksProof && !outage) return { watch: true, reason: 'keys are not confirmed' }
   return { watch: false, reason: 'left to others' }
 }
--- a/packages/fleet/test/attempt.test.ts
+++ b/packages/fleet/test/attempt.test.ts
@@ -74,7 +74,7 @@
     expect((await sent).type).to.equal('answer')
   })
 
-  describe('reports what the server states about itself', () => {
+  describe('reports that the server is draining', () => {
     const leaving = { leaving: '1' }
     const answers: Record<string, (response: ServerResponse) => void> = {
       'in a successful response': response => response.writeHead(200, { 'request-id': 'r', seal: 's', ...leaving }).end('answer'),
@@ -152,10 +152,10 @@
       ['9'.repeat(400), undefined]
     ]
 
-    for (const [named, perSecond] of limits) {
+    for (const [limit, perSecond] of limits) {
       for (const status of [200, 500, 503]) {
-        it(`${status} with ${named === undefined ? 'nothing' : `"${named.slice(0, 12)}"`}`, async () => {
-          answer = response => response.writeHead(status, { 'request-id': 'r', seal: 's', ...(named === undefined ? {} : { limit: named }) }).end()
+        it(`${status} with ${limit === undefined ? 'nothing' : `"${limit.slice(0, 12)}"`}`, async () => {
+          answer = response => response.writeHead(status, { 'request-id': 'r', seal: 's', ...(limit === undefined ? {} : { limit }) }).end()
           await send(`127.0.0.1:${(server.address() as AddressInfo).port}`)
           expect(serverFeedback.map(feedback => feedback.limitPerSecond)).to.deep.equal([perSecond])
         })
--- a/packages/fleet/test/balancer.test.ts
+++ b/packages/fleet/test/balancer.test.ts
@@ -15,10 +15,10 @@
 const links = { canRequestLoad: () => true, warm: () => false, isLoadRequested: () => false, requestLoad: () => {}, scheduleUsesReport: () => {} }
 
 describe('balancer', () => {
-  const create = (placers = links, serverLimits: LimitsView = noLimits): { facts: Facts, balancer: Balancer } => {
+  const create = (placement = links, serverLimits: LimitsView = noLimits): { facts: Facts, balancer: Balancer } => {
     const facts = new Facts(silentLog, () => 1000)
     facts.offer({ kind: 'table', key: 'table', revision: 1, value: table }, 'store')
-    const balancer = new Balancer(facts, 'a', () => limits, () => placers, silentLog, () => 1, serverLimits)
+    const balancer = new Balancer(facts, 'a', () => limits, () => placement, silentLog, () => 1, serverLimits)
     for (const id of ['1', '2']) {
       facts.offer({ kind: 'server', key: id, revision: 2, value: server(id) }, 'store')
       balancer.state(server(id))
@@ -161,13 +161,13 @@
       expect(balancer.isAvailable(first)).to.equal(false)
       const second = { ...first, bornAt: 20 }
       expect(balancer.isAvailable(second)).to.equal(true)
-      // A late answer of the previous incarnation.
+      // A late response of the previous incarnation.
       balancer.backOff(first, state, 3000, 'r')
       expect(balancer.isAvailable(second)).to.equal(true)
     })
   })
 
-  it('keeps fallback servers no longer than requests may go there, counted from the answer of the store', () => {
+  it('keeps fallback servers no longer than requests may go there, counted from the store\'s response', () => {
     expect(fallbackRetentionMs(700, 2000)).to.equal(1000)
     expect(fallbackRetentionMs(1800, 3000)).to.equal(750)
     expect(fallbackRetentionMs(5000, 2000)).to.equal(0)
--- a/packages/fleet/test/choice.test.ts
+++ b/packages/fleet/test/choice.test.ts
@@ -53,7 +53,7 @@
       expect(engine([candidate('near', 'a'), candidate('far', 'b', { holds: true })])).to.include({ type: 'send', id: 'far' })
     })
 
-    it('requests a load from the same engine in every domain, and from another if that one can not be asked', () => {
+    it('requests a load from the same engine in every domain, and from another if that one cannot be asked', () => {
       const candidates = [candidate('p', 'a'), candidate('q', 'a'), candidate('r', 'b')]
       const first = engine(candidates)
       expect(first.type).to.equal('bring')
@@ -67,7 +67,7 @@
       expect(engine([candidate('p', 'a'), candidate('q', 'b', { warm: true })])).to.deep.include({ ask: 'q' })
     })
 
-    it('waits for engines that can not be asked yet, and returns none if there are no engines', () => {
+    it('waits for engines that cannot be asked yet, and returns none if there are no engines', () => {
       expect(engine([candidate('p', 'a', { canRequestLoad: false })])).to.deep.include({ type: 'bring', ask: undefined })
       expect(engine([]).type).to.equal('none')
     })
--- a/packages/fleet/test/connect-timeout.test.ts
+++ b/packages/fleet/test/connect-timeout.test.ts
@@ -3,9 +3,9 @@
 
 describe('connect timeout', () => {
   const timeoutAfter = (...connectTimes: number[]): number => {
-    const limit = new ConnectTimeout()
-    for (const ms of connectTimes) limit.recordConnect(ms)
-    return limit.ms
+    const timeout = new ConnectTimeout()
+    for (const ms of connectTimes) timeout.recordConnect(ms)
+    return timeout.ms
   }
 
   it('is short while connects are fast', () => {
--- a/packages/fleet/test/crash-reports.test.ts
+++ b/packages/fleet/test/crash-reports.test.ts
@@ -28,25 +28,25 @@
   afterEach(() => time.restore())
 
   describe('sent by an entry to side processes', () => {
-    let places: ReportTarget[]
+    let sideProcesses: ReportTarget[]
     let sides: Map<string, RecordingChannel>
     let warned: string[]
-    let exchange: AttemptReporter
+    let reporter: AttemptReporter
     const log = { ...silentLog, warn: (event: string) => { warned.push(event) } } as unknown as Log
-    const begin = (): AttemptReporter => new AttemptReporter({ sideProcesses: () => places, channelTo: host => sides.get(host)?.channel, log })
+    const begin = (): AttemptReporter => new AttemptReporter({ sideProcesses: () => sideProcesses, channelTo: host => sides.get(host)?.channel, log })
     const hostsReached = (): string[] => [...sides].filter(([, side]) => side.crashes.length > 0).map(([host]) => host)
 
     beforeEach(() => {
       warned = []
-      places = ['a', 'b'].flatMap(domain => [1, 2, 3].map(each => ({ host: `${domain}${each}`, domain, responsive: true })))
-      sides = new Map(places.map(({ host }) => [host, new RecordingChannel()]))
-      exchange = begin()
+      sideProcesses = ['a', 'b'].flatMap(domain => [1, 2, 3].map(each => ({ host: `${domain}${each}`, domain, responsive: true })))
+      sides = new Map(sideProcesses.map(({ host }) => [host, new RecordingChannel()]))
+      reporter = begin()
     })
 
-    afterEach(() => exchange.close())
+    afterEach(() => reporter.close())
 
     it('go to one side process of each failure domain, the same for all entries', async () => {
-      exchange.report(reportsOf(crash('s')))
+      reporter.report(reportsOf(crash('s')))
       await time.advance(10)
       const first = hostsReached()
       expect(first.map(host => host.charAt(0))).to.deep.equal(['a', 'b'])
@@ -58,37 +58,37 @@
     })
 
     it('are batched in one frame for all requests that a crash failed', async () => {
-      for (const each of [fingerprint, other]) exchange.report(reportsOf(crash('s', { fingerprint: each })))
+      for (const each of [fingerprint, other]) reporter.report(reportsOf(crash('s', { fingerprint: each })))
       await time.advance(10)
       expect(sides.get(hostsReached()[0] ?? '')?.crashes.map(frame => frame.crashes.length)).to.deep.equal([2])
     })
 
     it('are delayed and batched for completed runs, but sent at once along with a crash', async () => {
-      const reportCompleted = (): void => exchange.report({ crashes: [], sound: [{ fingerprint: other, endedAt: nowMs() }], limits: [], probes: [] })
+      const reportCompleted = (): void => reporter.report({ crashes: [], sound: [{ fingerprint: other, endedAt: nowMs() }], limits: [], probes: [] })
       reportCompleted()
       await time.advance(100)
       reportCompleted()
       expect(hostsReached()).to.have.length(0)
       await time.advance(350)
       expect(sides.get(hostsReached()[0] ?? '')?.crashes.map(frame => frame.sound.length)).to.deep.equal([2])
-      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) exchange.handleAck(host, frame.stamp)
+      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) reporter.handleAck(host, frame.stamp)
       reportCompleted()
-      exchange.report(reportsOf(crash('s')))
+      reporter.report(reportsOf(crash('s')))
       await time.advance(10)
       expect(sides.get(hostsReached()[0] ?? '')?.crashes.at(-1)).to.have.nested.property('sound.length', 1)
     })
 
     it('are not sent again once they are acknowledged', async () => {
-      exchange.report(reportsOf(crash('s')))
+      reporter.report(reportsOf(crash('s')))
       await time.advance(10)
-      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) exchange.handleAck(host, frame.stamp)
+      for (const host of hostsReached()) for (const frame of sides.get(host)?.crashes ?? []) reporter.handleAck(host, frame.stamp)
       await time.advance(3000)
       expect(hostsReached()).to.have.length(2)
       expect(warned).to.have.length(0)
     })
 
     it('go to the next side process if the first does not answer, with their age at that time', async () => {
-      exchange.report(reportsOf(crash('s')))
+      reporter.report(reportsOf(crash('s')))
       await time.advance(10)
       const [firstOfA] = hostsReached()
       await time.advance(600)
@@ -101,7 +101,7 @@
     it('are sent once a channel that is being opened is available', async () => {
       const available = sides
       sides = new Map()
-      exchange.report(reportsOf(crash('s')))
+      reporter.report(reportsOf(crash('s')))
       await time.advance(150)
       sides = available
       await time.advance(150)
@@ -109,7 +109,7 @@
     })
 
     it('are dropped with a warning if no side process answers', async () => {
-      exchange.report(reportsOf(crash('s')))
+      reporter.report(reportsOf(crash('s')))
       await time.advance(4000)
       expect(warned).to.deep.equal(['crashes.not_passed_on', 'crashes.not_passed_on'])
     })
@@ -180,7 +180,7 @@
     let refusesConnections: boolean
     const server: BackendServer = { id: 'i', service: 's', address: '10.0.0.1:80', domain: 'a', slots: 1, leaving: false, models: [] }
     const offer = (more: Partial<BackendServer>, revision: number): void => { facts.offer({ kind: 'server', key: 'i', revision, value: { ...server, ...more } }, 'store') }
-    const brokeOff = async (more: Partial<BackendServer> = {}): Promise<void> => {
+    const failAttempt = async (more: Partial<BackendServer> = {}): Promise<void> => {
       await crashes.brokeOff({ request: 'r', fingerprint, server: { ...server, ...more }, sentAt: nowMs() - 50 })
       await time.advance(100)
     }
@@ -195,36 +195,36 @@
     })
 
     it('count a server that crashed, and are shared with other entries', async () => {
-      await brokeOff()
+      await failAttempt()
       expect(crashes.isEmpty).to.equal(false)
       expect(sent.map(reports => reports.crashes.length)).to.deep.equal([1])
       expect(crashes.quarantine(fingerprint)).to.equal(undefined)
     })
 
     it('count a restarted server with the same id as another server, and trigger the callback once the request is quarantined', async () => {
-      await brokeOff({ bornAt: 1 })
-      await brokeOff({ bornAt: 2 })
+      await failAttempt({ bornAt: 1 })
+      await failAttempt({ bornAt: 2 })
       expect(crashes.quarantine(fingerprint)?.servers).to.deep.equal(['i 1', 'i 2'])
       expect(quarantines).to.equal(1)
     })
 
     it('do not count a broken connection to a server that still accepts connections', async () => {
       refusesConnections = false
-      await brokeOff()
+      await failAttempt()
       expect(crashes.isEmpty).to.equal(true)
       expect(sent).to.have.length(0)
     })
 
     it('do not count a server that was draining, or is no longer listed', async () => {
       offer({ leaving: true }, 2)
-      await brokeOff()
-      await brokeOff({ id: 'unknown' })
+      await failAttempt()
+      await failAttempt({ id: 'unknown' })
       expect(crashes.isEmpty).to.equal(true)
     })
 
     it('count a server that is replaced soon after, even if its address never refused connections', async () => {
       refusesConnections = false
-      await brokeOff()
+      await failAttempt()
       await time.advance(500)
       facts.offer({ kind: 'server', key: 'j', revision: 9, value: { ...server, id: 'j' } }, 'store')
       expect(sent.flatMap(reports => reports.crashes.map(each => [each.server, nowMs() - each.endedAt]))).to.deep.equal([['i', 600]])
@@ -232,14 +232,14 @@
 
     it('count a server that restarts with the same id', async () => {
       refusesConnections = false
-      await brokeOff({ bornAt: 1 })
+      await failAttempt({ bornAt: 1 })
       offer({ bornAt: 2 }, 9)
       expect(sent.flatMap(reports => reports.crashes.map(each => each.server))).to.deep.equal(['i 1'])
     })
 
     it('do not count a server that is replaced much later or at another address, or that updates its registration', async () => {
       refusesConnections = false
-      await brokeOff()
+      await failAttempt()
       facts.offer({ kind: 'server', key: 'j', revision: 9, value: { ...server, id: 'j', address: '10.0.0.2:80' } }, 'store')
       offer({ slots: 2 }, 10)
       await time.advance(15_000)
@@ -248,15 +248,15 @@
     })
 
     it('are combined with those of other entries', async () => {
-      await brokeOff()
+      await failAttempt()
       const [frame] = reportFrames(reportsOf(crash('j')))
       crashes.handleReport(frame ?? expect.fail(), 'side')
       expect(crashes.quarantine(fingerprint)?.servers).to.deep.equal(['i', 'j'])
     })
 
     it('are discarded at all entries once a run of the same request completes', async () => {
-      await brokeOff()
-      await brokeOff({ id: 'i', bornAt: 5 })
+      await failAttempt()
+      await failAttempt({ id: 'i', bornAt: 5 })
       crashes.recordCompletion(fingerprint)
       expect(crashes.quarantine(fingerprint)).to.equal(undefined)
       expect(sent.at(-1)?.sound.map(run => run.fingerprint)).to.deep.equal([fingerprint])
--- a/packages/fleet/test/draining-servers.test.ts
+++ b/packages/fleet/test/draining-servers.test.ts
@@ -37,15 +37,15 @@
   })
 
   /** Ids of requests that reached `server` although an entry got them later than `drainMs` after its first such answer. */
-  const lateArrivals = (server: BackendStandIn, sent: SentRequest[], leavingAt: number): string[] => fleet.entries.flatMap((_, entry) => {
+  const lateArrivals = (server: BackendStandIn, sent: SentRequest[], drainingAt: number): string[] => fleet.entries.flatMap((_, entry) => {
     const ofEntry = sent.filter(each => each.entry === entry)
-    const answeredAt = ofEntry.filter(each => each.server === server.id && each.at >= leavingAt).map(each => each.endedAt)
+    const answeredAt = ofEntry.filter(each => each.server === server.id && each.at >= drainingAt).map(each => each.endedAt)
     const drainedAt = Math.min(...answeredAt) + drainMs
     const arrivedIds = new Set(server.arrivals.map(({ id }) => id))
     return ofEntry.filter(each => each.at > drainedAt && arrivedIds.has(each.id)).map(each => each.id)
   })
 
-  const leave = (...servers: BackendStandIn[]): number => {
+  const startDraining = (...servers: BackendStandIn[]): number => {
     for (const server of servers) server.leaving = true
     return performance.now()
   }
@@ -53,11 +53,11 @@
   it('receive no requests after the drain time, while the store is silent', async () => {
     const [engine, plain] = [fleet.engines.find(each => each.adapters.has('a1')), fleet.plainServers[0]] as BackendStandIn[]
     fleet.store.fault = 'silent'
-    const leavingAt = leave(engine as BackendStandIn, plain as BackendStandIn)
+    const drainingAt = startDraining(engine as BackendStandIn, plain as BackendStandIn)
     const sent = await load.sendFor(drainMs + 1500, requestIntervalMs, paths)
     expect(sent.filter(each => each.status !== 200)).to.deep.equal([])
-    expect(lateArrivals(engine as BackendStandIn, sent, leavingAt)).to.deep.equal([])
-    expect(lateArrivals(plain as BackendStandIn, sent, leavingAt)).to.deep.equal([])
+    expect(lateArrivals(engine as BackendStandIn, sent, drainingAt)).to.deep.equal([])
+    expect(lateArrivals(plain as BackendStandIn, sent, drainingAt)).to.deep.equal([])
   })
 
   it('are known to all entries through their side process, including an entry that has just started', async () => {
@@ -65,7 +65,7 @@
     fleet.store.fault = 'silent'
     const started = fleet.entries[1] as Machine
     await fleet.kill(started)
-    leave(engine)
+    startDraining(engine)
     await pause(1000)
     const before = engine.arrivals.length
     await fleet.startProcess(started)
@@ -82,14 +82,14 @@
     }
     await pause(1000)
     const engine = fleet.engines.find(each => each.adapters.has('a1')) as BackendStandIn
-    leave(engine)
+    startDraining(engine)
     await load.sendFor(1000, requestIntervalMs, paths)
     engine.restart(engine.id)
     engine.leaving = false
     engine.bornAt = 2000
     fleet.relist(engine)
     // The other engines drain, so that only this one takes requests.
-    leave(...fleet.engines.filter(each => each !== engine))
+    startDraining(...fleet.engines.filter(each => each !== engine))
     await pause(2000)
     const sent = await load.sendFor(500, requestIntervalMs, paths)
     expect(sent.filter(each => each.server === engine.id).length).to.be.greaterThan(0)
@@ -99,7 +99,7 @@
   it('make entries answer at once when they are the last of their service', async () => {
     fleet.store.fault = 'silent'
     await pause(3500)
-    leave(...fleet.plainServers)
+    startDraining(...fleet.plainServers)
     for (let each = 0; each < fleet.plainServers.length; each++) await Promise.all([...fleet.entries.keys()].map(async entry => await load.send(entry, '/again/x')))
     const sent = await Promise.all([...fleet.entries.keys()].map(async entry => await load.send(entry, '/again/x')))
     for (const { status, at, endedAt } of sent) {
@@ -113,13 +113,13 @@
     plain.bornAt = 1000
     fleet.relist(plain)
     await pause(1000)
-    const leavingAt = leave(plain)
+    const drainingAt = startDraining(plain)
     const before = await load.sendFor(drainMs + 200, requestIntervalMs, paths)
     fleet.store.remove('servers', plain.id)
     await pause(200)
     fleet.relist(plain)
     const sent = [...before, ...await load.sendFor(1500, requestIntervalMs, paths)]
-    expect(lateArrivals(plain, sent, leavingAt)).to.deep.equal([])
+    expect(lateArrivals(plain, sent, drainingAt)).to.deep.equal([])
     plain.leaving = false
     plain.bornAt = 2000
     fleet.relist(plain)
--- a/packages/fleet/test/expired-quarantine.test.ts
+++ b/packages/fleet/test/expired-quarantine.test.ts
@@ -14,7 +14,7 @@
 import { FleetSystem, sendToFleet } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-const fatalPath = '/stream/fatal'
+const crashPath = '/stream/fatal'
 const requestIntervalMs = 25
 /** An engine crashes this long after it started to run the request. */
 const crashDelayMs = 130
@@ -32,7 +32,7 @@
   before(async () => {
     fleet = new FleetSystem({ network: 49, domains: 3, entriesPerDomain: 1, enginesPerDomain: 2, plainServersPerDomain: 1, adapterSlots: 8, loadMs: 20, workMs: 20, events: 4, eventMs: 10 })
     await fleet.start()
-    for (const engine of fleet.engines) Object.assign(engine, { fatalPath, fatalMs: crashDelayMs })
+    for (const engine of fleet.engines) Object.assign(engine, { crashPath, crashDelayMs })
   })
 
   after(() => fleet.stop())
@@ -44,7 +44,7 @@
   it('is sent at most three more times, however many copies arrive at all entries', async () => {
     const until = performance.now() + testMs
     for (let each = 0; performance.now() < until; each++) {
-      for (const entry of fleet.entries.keys()) void sendToFleet(fleet, { path: fatalPath, id: `fatal-${entry}-${each}`, model: 'base', entry }).catch(() => undefined)
+      for (const entry of fleet.entries.keys()) void sendToFleet(fleet, { path: crashPath, id: `fatal-${entry}-${each}`, model: 'base', entry }).catch(() => undefined)
       await pause(requestIntervalMs)
     }
     const runs = fleet.engines.flatMap(engine => engine.arrivals).filter(({ id, refused }) => id.startsWith('fatal-') && !refused).map(({ at }) => at).sort((a, b) => a - b)
--- a/packages/fleet/test/fleet.test.ts
+++ b/packages/fleet/test/fleet.test.ts
@@ -11,7 +11,7 @@
   this.timeout(60_000)
   let fleet: FleetSystem
 
-  const ask = (asked: FleetRequest): Promise<FleetResponse> => sendToFleet(fleet, asked)
+  const send = (request: FleetRequest): Promise<FleetResponse> => sendToFleet(fleet, request)
   const nextId = (): string => `request-${sent++}`
   const allServers = (): BackendStandIn[] => [...fleet.engines, ...fleet.plainServers]
   const runsOf = (id: string): number => allServers().reduce((sum, server) => sum + server.startedIds.filter(each => each === id).length, 0)
@@ -34,7 +34,7 @@
 
   describe('responses', () => {
     it('are complete streams, with the seal of the server that produced them', async () => {
-      const reply = await ask({ path: '/stream/x', id: nextId(), model: 'base/a1' })
+      const reply = await send({ path: '/stream/x', id: nextId(), model: 'base/a1' })
       expect(reply).to.include({ status: 200, whole: true })
       expect(reply.body.match(/^id: /gm)).to.have.length(5)
       expect(reply.headers['response-seal']).to.match(/^seal-engine/)
@@ -42,7 +42,7 @@
 
     it('come from requests that keep the caller\'s headers, except those reserved for the system', async () => {
       const id = nextId()
-      await ask({ path: '/stream/x?y=1', id, model: 'base/a1', headers: { hold: 'h', 'request-priority': '0', 'x-own': 'kept', 'expect-instance': 'other', connection: 'x-hop', 'x-hop': '1' } })
+      await send({ path: '/stream/x?y=1', id, model: 'base/a1', headers: { hold: 'h', 'request-priority': '0', 'x-own': 'kept', 'expect-instance': 'other', connection: 'x-hop', 'x-hop': '1' } })
       const headers = fleet.engines.map(engine => engine.headers.get(id)).find(each => each !== undefined)
       expect(headers).to.include({ 'x-own': 'kept', 'request-priority': '4', 'request-id': id, 'expect-version': '1' })
       expect(headers).to.not.have.any.keys('hold', 'x-hop')
@@ -52,17 +52,17 @@
 
     it('do not break connections between processes, whatever the caller\'s headers say', async () => {
       const before = fleet.lines(fleet.entries[0] as never).filter(line => line.event === 'side.lost').length
-      const huge = await ask({ path: '/stream/x', id: nextId(), model: 'base/a1', headers: { 'token-usage': `${'9'.repeat(30)},1` } })
+      const huge = await send({ path: '/stream/x', id: nextId(), model: 'base/a1', headers: { 'token-usage': `${'9'.repeat(30)},1` } })
       expect(huge).to.include({ status: 200, whole: true })
-      const long = await ask({ path: '/stream/x', id: nextId(), model: `base/${'a'.repeat(600)}` })
+      const long = await send({ path: '/stream/x', id: nextId(), model: `base/${'a'.repeat(600)}` })
       expect(long).to.include({ status: 400 })
       await pause(400)
-      expect(await ask({ path: '/stream/x', id: nextId(), model: 'base/a2' })).to.include({ status: 200 })
+      expect(await send({ path: '/stream/x', id: nextId(), model: 'base/a2' })).to.include({ status: 200 })
       expect(fleet.lines(fleet.entries[0] as never).filter(line => line.event === 'side.lost')).to.have.length(before)
     })
 
     it('are 404 if no route matches', async () => {
-      expect(await ask({ path: '/nowhere/x', id: nextId() })).to.include({ status: 404 })
+      expect(await send({ path: '/nowhere/x', id: nextId() })).to.include({ status: 404 })
     })
   })
 
@@ -71,7 +71,7 @@
       it(`is reported as possibly run, and runs once, if the response is ${fault}`, async () => {
         setFault(fleet.plainServers, fault)
         const id = nextId()
-        expect(await ask({ path: '/once/x', id })).to.include({ status: 502, whole: true })
+        expect(await send({ path: '/once/x', id })).to.include({ status: 502, whole: true })
         expect(runsOf(id)).to.equal(1)
       })
     }
@@ -80,14 +80,14 @@
       setFault(fleet.plainServers, 'mute')
       const id = nextId()
       const started = Date.now()
-      expect(await ask({ path: '/once/x', id, remainingMs: 600 })).to.include({ status: 504 })
+      expect(await send({ path: '/once/x', id, remainingMs: 600 })).to.include({ status: 504 })
       expect(Date.now() - started).to.be.within(550, 800)
       expect(runsOf(id)).to.equal(1)
     })
 
     it('goes to another server if the first states that it did not run', async () => {
       setFault(fleet.plainServers.slice(0, 1), 'shedding')
-      const replies = await Promise.all(Array.from({ length: 6 }, async () => await ask({ path: '/once/x', id: nextId() })))
+      const replies = await Promise.all(Array.from({ length: 6 }, async () => await send({ path: '/once/x', id: nextId() })))
       expect(replies.map(reply => reply.status)).to.deep.equal([200, 200, 200, 200, 200, 200])
     })
 
@@ -95,7 +95,7 @@
       setFault(fleet.plainServers, 'shedding')
       const id = nextId()
       const started = Date.now()
-      const reply = await ask({ path: '/once/x', id })
+      const reply = await send({ path: '/once/x', id })
       expect(reply.status).to.equal(503)
       expect(Number(reply.headers['retry-after'])).to.be.greaterThan(0)
       expect(Date.now() - started).to.be.lessThan(500)
@@ -106,7 +106,7 @@
   describe('a repeatable request', () => {
     it('is retried at another server after a failure', async () => {
       setFault(fleet.plainServers.slice(0, 1), 'failing')
-      const replies = await Promise.all(Array.from({ length: 8 }, async () => await ask({ path: '/again/x', id: nextId() })))
+      const replies = await Promise.all(Array.from({ length: 8 }, async () => await send({ path: '/again/x', id: nextId() })))
       expect(replies.every(reply => reply.status === 200)).to.equal(true)
     })
 
@@ -115,7 +115,7 @@
       for (const server of fleet.plainServers) server.options.workMs = 800
       const table = fleet.table(1) as { routes: Array<Record<string, unknown>> }
       const routes = table.routes.map(route => route.name === 'r-again' ? { ...route, service: 'nowhere' } : route)
-      const reply = ask({ path: '/again/x', id: nextId() })
+      const reply = send({ path: '/again/x', id: nextId() })
       await pause(50)
       fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, { routes }))
       const { status } = await reply
@@ -129,7 +129,7 @@
       setFault(fleet.plainServers.slice(0, 1), 'failing')
       setFault(fleet.plainServers.slice(1), 'shedding')
       const ids = Array.from({ length: 8 }, nextId)
-      const replies = await Promise.all(ids.map(async id => await ask({ path: '/again/x', id })))
+      const replies = await Promise.all(ids.map(async id => await send({ path: '/again/x', id })))
       const ran = replies.filter((_reply, each) => runsOf(ids[each] ?? '') > 0)
       expect(ran.length).to.be.greaterThan(0)
       expect(ran.map(reply => reply.status)).to.not.include(503)
@@ -137,7 +137,7 @@
 
     it('gets the error response unchanged if every server fails', async () => {
       setFault(fleet.plainServers, 'failing')
-      const reply = await ask({ path: '/again/x', id: nextId() })
+      const reply = await send({ path: '/again/x', id: nextId() })
       expect(reply.status).to.equal(500)
       expect(reply.headers['response-seal']).to.match(/^seal-plain/)
     })
@@ -145,16 +145,16 @@
 
   describe('a truncated stream', () => {
     it('never looks complete', async () => {
-      await ask({ path: '/stream/x', id: nextId(), model: 'base/a1' })
+      await send({ path: '/stream/x', id: nextId(), model: 'base/a1' })
       setFault(fleet.engines, 'torn')
-      expect(await ask({ path: '/stream/x', id: nextId(), model: 'base/a1' })).to.include({ status: 200, whole: false })
+      expect(await send({ path: '/stream/x', id: nextId(), model: 'base/a1' })).to.include({ status: 200, whole: false })
     })
 
     it('is resumed at another engine where allowed, without missing or duplicate events', async () => {
-      await Promise.all([0, 1].map(async entry => await ask({ path: '/resume/x', id: nextId(), model: 'base', entry })))
+      await Promise.all([0, 1].map(async entry => await send({ path: '/resume/x', id: nextId(), model: 'base', entry })))
       const breaking = fleet.engines[0]
       if (breaking !== undefined) breaking.fault = 'torn'
-      const reply = await ask({ path: '/resume/x', id: nextId(), model: 'base' })
+      const reply = await send({ path: '/resume/x', id: nextId(), model: 'base' })
       expect(reply).to.include({ status: 200, whole: true })
       expect(reply.body.match(/^id: \d/gm)).to.deep.equal(['id: 1', 'id: 2', 'id: 3', 'id: 4', 'id: 5'])
     })
@@ -163,17 +163,17 @@
   it('cancels the request at the server when the caller disconnects', async () => {
     setFault(fleet.plainServers, 'mute')
     const id = nextId()
-    const abandoned = await ask({ path: '/again/x', id, disconnectAfterMs: 100 }).catch(() => undefined)
+    const abandoned = await send({ path: '/again/x', id, disconnectAfterMs: 100 }).catch(() => undefined)
     expect(abandoned).to.equal(undefined)
     await eventually('the server notices that the caller disconnected', () => fleet.plainServers.some(server => server.disconnectedIds.includes(id)), 1000)
   })
 
   describe('adapter orders', () => {
     it('reload an adapter at once that an engine turns out not to hold, without ejecting the engine', async () => {
-      await ask({ path: '/stream/x', id: nextId(), model: 'base/g1' })
+      await send({ path: '/stream/x', id: nextId(), model: 'base/g1' })
       for (const engine of fleet.engines) engine.adapters.delete('g1')
       const id = nextId()
-      expect(await ask({ path: '/stream/x', id, model: 'base/g1' })).to.include({ status: 200, whole: true })
+      expect(await send({ path: '/stream/x', id, model: 'base/g1' })).to.include({ status: 200, whole: true })
       const [entry] = fleet.entries
       if (entry === undefined) throw new Error('there is an entry')
       await eventually('the end is logged', () => fleet.lines(entry).some(line => line.event === 'request.ended' && line.request === id))
@@ -183,7 +183,7 @@
     })
 
     it('never exceed the adapter slots of an engine, whatever is requested', async () => {
-      const replies = await Promise.all(Array.from({ length: 20 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/b${each}`, entry: each % 2 })))
+      const replies = await Promise.all(Array.from({ length: 20 }, async (_, each) => await send({ path: '/stream/x', id: nextId(), model: `base/b${each}`, entry: each % 2 })))
       expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
       expect(replies.filter(reply => reply.status === 200)).to.have.length.at.least(10)
       expect(replies.every(reply => reply.status === 200 || reply.status === 503)).to.equal(true)
@@ -191,31 +191,31 @@
 
     it('stay consistent if responses are lost and orders are executed late', async () => {
       for (const engine of fleet.engines) engine.orderDelayMs = 900
-      await Promise.all(Array.from({ length: 12 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/c${each}`, entry: each % 2 })))
+      await Promise.all(Array.from({ length: 12 }, async (_, each) => await send({ path: '/stream/x', id: nextId(), model: `base/c${each}`, entry: each % 2 })))
       for (const engine of fleet.engines) engine.orderDelayMs = 0
-      await Promise.all(Array.from({ length: 12 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/d${each}`, entry: each % 2 })))
+      await Promise.all(Array.from({ length: 12 }, async (_, each) => await send({ path: '/stream/x', id: nextId(), model: `base/d${each}`, entry: each % 2 })))
       await pause(1000)
       expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
     })
 
     it('continue while every second response is lost', async () => {
-      for (const engine of fleet.engines) Object.assign(engine, { lateOrdersMs: 6000, lateEvery: 2 })
+      for (const engine of fleet.engines) Object.assign(engine, { orderDelayMs: 6000, orderDelayInterval: 2 })
       const started = Date.now()
       for (let each = 0; each < 4; each++) {
-        expect(await ask({ path: '/stream/x', id: nextId(), model: `base/l${each}` })).to.include({ status: 200 })
+        expect(await send({ path: '/stream/x', id: nextId(), model: `base/l${each}` })).to.include({ status: 200 })
       }
       expect(Date.now() - started).to.be.lessThan(3000)
-      for (const engine of fleet.engines) Object.assign(engine, { lateOrdersMs: 0, lateEvery: 1 })
+      for (const engine of fleet.engines) Object.assign(engine, { orderDelayMs: 0, orderDelayInterval: 1 })
       await pause(6500)
       expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
     })
 
     it('load a newly published version, and requests use it', async () => {
-      await ask({ path: '/stream/x', id: nextId(), model: 'base/e1' })
+      await send({ path: '/stream/x', id: nextId(), model: 'base/e1' })
       fleet.store.put('versions', 'base.e1', { model: 'base', adapter: 'e1', version: 2 })
       await pause(2500)
       const id = nextId()
-      expect(await ask({ path: '/stream/x', id, model: 'base/e1' })).to.include({ status: 200 })
+      expect(await send({ path: '/stream/x', id, model: 'base/e1' })).to.include({ status: 200 })
       const headers = fleet.engines.map(engine => engine.headers.get(id)).find(each => each !== undefined)
       expect(headers).to.include({ 'expect-version': '2' })
     })
@@ -231,14 +231,14 @@
       fleet.register(engine, side.ip, 'd0')
       fleet.store.remove('servers', 'engine-d0-0')
       await pause(2500)
-      expect(await ask({ path: '/stream/x', id: nextId(), model: 'base/h1' })).to.include({ status: 200 })
+      expect(await send({ path: '/stream/x', id: nextId(), model: 'base/h1' })).to.include({ status: 200 })
     })
 
     it('are sent through another side process if the local one does not respond', async () => {
       const localSide = fleet.sides.find(each => each.name.startsWith('side-d0'))
       if (localSide?.process === undefined) throw new Error('no side process in the failure domain of entry 0')
       localSide.process.kill('SIGSTOP')
-      const replies = await Promise.all(['s1', 's2'].map(async adapter => await ask({ path: '/stream/x', id: nextId(), model: `base/${adapter}` })))
+      const replies = await Promise.all(['s1', 's2'].map(async adapter => await send({ path: '/stream/x', id: nextId(), model: `base/${adapter}` })))
       localSide.process.kill('SIGCONT')
       expect(replies.map(reply => reply.status)).to.deep.equal([200, 200])
       await pause(settleMs)
@@ -248,10 +248,10 @@
       for (const side of fleet.sides) side.process?.kill('SIGSTOP')
       // Long enough for the entry to consider silent side processes unavailable, and too short for their connections to time out.
       await pause(2200)
-      const asked = ask({ path: '/stream/x', id: nextId(), model: 'base/w1', remainingMs: 5000 })
+      const pending = send({ path: '/stream/x', id: nextId(), model: 'base/w1', remainingMs: 5000 })
       await pause(300)
       for (const side of fleet.sides) side.process?.kill('SIGCONT')
-      expect(await asked).to.include({ status: 200, whole: true })
+      expect(await pending).to.include({ status: 200, whole: true })
       await pause(settleMs)
     })
 
@@ -263,7 +263,7 @@
       const before = Math.max(...fences())
       await fleet.startProcess(side)
       await pause(settleMs)
-      const replies = await Promise.all(Array.from({ length: 6 }, async (_, each) => await ask({ path: '/stream/x', id: nextId(), model: `base/f${each}` })))
+      const replies = await Promise.all(Array.from({ length: 6 }, async (_, each) => await send({ path: '/stream/x', id: nextId(), model: `base/f${each}` })))
       expect(replies.some(reply => reply.status === 200)).to.equal(true)
       expect(fleet.engines.some(engine => engine.slotsExceeded)).to.equal(false)
       expect(fences().at(-1)).to.be.at.least(before)
@@ -275,14 +275,14 @@
       it(`continues with its last known state (${fault}), and catches up afterwards`, async () => {
         fleet.store.fault = fault
         await pause(300)
-        expect(await ask({ path: '/once/x', id: nextId() })).to.include({ status: 200 })
+        expect(await send({ path: '/once/x', id: nextId() })).to.include({ status: 200 })
         fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, { routes: (fleet.table(1) as { routes: unknown[] }).routes.concat({ name: fault, host: 'fleet.example', pathPrefix: `/${fault}/`, kind: 'non_idempotent', timeoutMs: 1000, targetLatencyMs: 150, priority: 2, service: 'ledger', maxAttempts: 1 }) }))
         fleet.store.fault = 'none'
         let status = 0
         const until = Date.now() + 7000
         while (status !== 200 && Date.now() < until) {
           await pause(100)
-          status = (await ask({ path: `/${fault}/x`, id: nextId() })).status
+          status = (await send({ path: `/${fault}/x`, id: nextId() })).status
         }
         expect(status).to.equal(200)
       })
@@ -292,7 +292,7 @@
       fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10))
       fleet.store.compact()
       await pause(1500)
-      expect(await ask({ path: '/once/x', id: nextId() })).to.include({ status: 200 })
+      expect(await send({ path: '/once/x', id: nextId() })).to.include({ status: 200 })
     })
   })
 
@@ -301,12 +301,12 @@
       const entry = fleet.entries[1]
       if (entry === undefined) throw new Error('there are two entries')
       const agent = new Agent({ keepAlive: true })
-      expect((await ask({ path: '/once/x', id: nextId(), entry: 1, agent })).status).to.equal(200)
+      expect((await send({ path: '/once/x', id: nextId(), entry: 1, agent })).status).to.equal(200)
       const stopped = fleet.kill(entry, 'SIGTERM')
       await pause(50)
       const ready = await fetch(fleet.readyUrl(1)).then(answer => answer.status)
       expect(ready).to.equal(503)
-      const during = await ask({ path: '/stream/x', id: nextId(), model: 'base', entry: 1, agent })
+      const during = await send({ path: '/stream/x', id: nextId(), model: 'base', entry: 1, agent })
       expect(during).to.include({ status: 200, whole: true })
       expect(during.headers.connection).to.equal('close')
       await stopped
@@ -350,8 +350,8 @@
     const statuses: number[] = []
     const until = Date.now() + 10_000
     while (!statuses.includes(200) && Date.now() < until) {
-      const asked = ask({ path: '/once/x', id: nextId() }).then(reply => reply.status, () => 0)
-      statuses.push(await asked)
+      const pending = send({ path: '/once/x', id: nextId() }).then(reply => reply.status, () => 0)
+      statuses.push(await pending)
       await pause(2)
     }
     fleet.store.listDelayMs = 0
@@ -361,7 +361,7 @@
 
   it('closes caller connections after another entry has joined', async () => {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
-    const ask0 = async (): Promise<FleetResponse> => await ask({ path: '/again/x', id: nextId(), agent })
+    const ask0 = async (): Promise<FleetResponse> => await send({ path: '/again/x', id: nextId(), agent })
     const [, other] = fleet.entries
     if (other === undefined) throw new Error('there are two entries')
     await fleet.kill(other)
@@ -381,7 +381,7 @@
   it('logs everything about a request under its id', async () => {
     setFault(fleet.plainServers, 'shedding')
     const id = nextId()
-    await ask({ path: '/once/x', id })
+    await send({ path: '/once/x', id })
     const [entry] = fleet.entries
     if (entry === undefined) throw new Error('there is an entry')
     await eventually('the end is logged', () => entry.output.some(line => line.includes('request.ended') && line.includes(`"${id}"`)))
--- a/packages/fleet/test/prefill-rate.test.ts
+++ b/packages/fleet/test/prefill-rate.test.ts
@@ -49,7 +49,7 @@
       expect(state.expectedMs(1000, 1, nowMs())).to.be.closeTo(alone, 0.001)
     })
 
-    it('drops the tokens of a request that ended without an answer', () => {
+    it('drops the tokens of a request that ended without a response', () => {
       const pending = state.begin({ key: 'm/x', patienceMs: 1000, tokens: 9000, priority: 1 })
       state.end('m/x', pending)
       state.recordFirstByte(pending)
--- a/packages/fleet/test/quotas.test.ts
+++ b/packages/fleet/test/quotas.test.ts
@@ -115,7 +115,7 @@
 const step = fc.oneof(
   { weight: 6, arbitrary: fc.record({ type: fc.constant('pass' as const), ms: fc.oneof({ weight: 8, arbitrary: fc.integer({ min: 1, max: 400 }) }, { weight: 1, arbitrary: fc.integer({ min: 1, max: 6000 }) }) }) },
   { weight: 8, arbitrary: fc.record({ type: fc.constant('flood' as const), entry, tokens: fc.integer({ min: 50, max: 9000 }) }) },
-  { weight: 8, arbitrary: fc.record({ type: fc.constant('exchange' as const), entry, bank, there: delay, back: delay }) },
+  { weight: 8, arbitrary: fc.record({ type: fc.constant('exchange' as const), entry, bank, requestMs: delay, answerMs: delay }) },
   { weight: 1, arbitrary: fc.record({ type: fc.constant('restart' as const), entry }) },
   { weight: 1, arbitrary: fc.record({ type: fc.constant('restartBank' as const), bank }) }
 )
@@ -129,7 +129,7 @@
     const run = (simulation: QuotaSimulation, steps: Array<typeof step extends fc.Arbitrary<infer Step> ? Step : never>): void => {
       for (const each of steps) {
         if (each.type === 'pass') simulation.pass(each.ms)
-        if (each.type === 'exchange') simulation.exchange(each.entry, each.bank, each.there, each.back)
+        if (each.type === 'exchange') simulation.exchange(each.entry, each.bank, each.requestMs, each.answerMs)
         if (each.type === 'restart') simulation.restart(each.entry)
         if (each.type === 'restartBank') simulation.restartBank(each.bank)
         if (each.type === 'flood') while (simulation.spend(each.entry, each.tokens)) simulation.pass(0)
@@ -159,7 +159,7 @@
       const simulation = new QuotaSimulation(time, 26, 26)
       for (let each = 0; each < 600; each++) {
         simulation.pass(100)
-        for (let ask = 0; ask < 30; ask++) simulation.spend(3, 700)
+        for (let attempt = 0; attempt < 30; attempt++) simulation.spend(3, 700)
         if (withExchange && each % 3 === 0) for (let other = 0; other < 26; other++) simulation.exchange(other, 0, 1, 1)
       }
       expect(simulation.maxSpent).to.be.at.most(bound)
@@ -191,7 +191,7 @@
       return quotas
     }
 
-    it('count prompt and maximum answer length, or the default cost for requests that state none', () => {
+    it('count prompt and maximum output tokens, or the default cost for requests that state none', () => {
       expect(costOf(quota, '491,72')).to.equal(563)
       for (const stated of [undefined, '', 'many', '5', '-9,2']) expect(costOf(quota, stated)).to.equal(200)
       expect(costOf({ ...quota, unit: 'requests' }, '491,72')).to.equal(1)
@@ -209,7 +209,7 @@
       const quotas = createQuotas()
       time.advanceSync(1000)
       const reserved = await quotas.reserve(red, '2900,0')
-      if (typeof reserved === 'number') throw new Error('it was refused')
+      if (typeof reserved === 'number') throw new Error('expected a reservation')
       quotas.release(reserved)
       expect(await quotas.reserve(red, '2900,0')).to.have.property('slices')
     })
@@ -218,7 +218,7 @@
       const quotas = createQuotas()
       time.advanceSync(1000)
       const reserved = await quotas.reserve(red, '2900,0')
-      if (typeof reserved === 'number') throw new Error('it was refused')
+      if (typeof reserved === 'number') throw new Error('expected a reservation')
       time.advanceSync(9000)
       expect(quotas.isValid(reserved, red)).to.equal(false)
       expect(quotas.spend(reserved)).to.equal(true)
--- a/packages/fleet/test/rate-limited-servers.test.ts
+++ b/packages/fleet/test/rate-limited-servers.test.ts
@@ -14,13 +14,13 @@
 import { FleetLoad, FleetSystem, type BackendStandIn } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-/** Starting this long after a server first advertised its limit, */
+/** The bound applies starting this long after a server first advertised its limit. */
 const propagationMs = 3000
-/** in any window of this length, */
+/** Length of the windows in which arrivals are counted. */
 const windowMs = 4000
-/** it gets at most this multiple of what the limit allows, */
+/** In each window a server gets at most this multiple of what its limit allows. */
 const overageFactor = 1.5
-/** plus this many requests. */
+/** Number of requests allowed in each window beyond that. */
 const slack = 5
 const requestIntervalMs = 25
 /** A report of an entry has reached all others by then. */
--- a/packages/fleet/test/repeated-crashes.test.ts
+++ b/packages/fleet/test/repeated-crashes.test.ts
@@ -15,7 +15,7 @@
 const retries = 10
 /** Longer than an engine takes to restart, so that there are engines left for all retries. */
 const retryIntervalMs = 150
-const fatalPath = '/stream/fatal'
+const crashPath = '/stream/fatal'
 /** Two crashes known to all entries quarantine the request; one more attempt may already be in progress. */
 const maxCrashes = 3
 
@@ -25,7 +25,7 @@
   before(async () => {
     fleet = new FleetSystem({ network: 37, domains: 2, entriesPerDomain: 2, enginesPerDomain: 3, plainServersPerDomain: 1, adapterSlots: 8, loadMs: 20, workMs: 20, events: 4, eventMs: 10 })
     await fleet.start()
-    for (const engine of fleet.engines) engine.crashPath = fatalPath
+    for (const engine of fleet.engines) engine.crashPath = crashPath
   })
 
   after(() => fleet.stop())
@@ -35,7 +35,7 @@
   })
 
   /** `undefined` if no response started. */
-  const ask = async (asked: FleetRequest): Promise<FleetResponse | undefined> => await sendToFleet(fleet, asked).catch(() => undefined)
+  const send = async (request: FleetRequest): Promise<FleetResponse | undefined> => await sendToFleet(fleet, request).catch(() => undefined)
 
   /** Number of attempts that a server started to run. */
   const runsOf = (id: string): number => [...fleet.engines, ...fleet.plainServers].flatMap(server => server.startedIds).filter(each => each.startsWith(id)).length
@@ -43,7 +43,7 @@
   it('is rejected at every entry once it has crashed two of them', async () => {
     const replies: Array<FleetResponse | undefined> = []
     for (let each = 0; each < retries; each++) {
-      replies.push(await ask({ path: fatalPath, id: `fatal-${each}`, model: 'base', entry: each % fleet.entries.length }))
+      replies.push(await send({ path: crashPath, id: `fatal-${each}`, model: 'base', entry: each % fleet.entries.length }))
       await pause(retryIntervalMs)
     }
     expect(runsOf('fatal')).to.be.at.most(maxCrashes)
@@ -54,9 +54,9 @@
   })
 
   it('does not affect other requests', async () => {
-    const others: FleetRequest[] = fleet.entries.map((_, entry) => ({ path: fatalPath, id: `other-body-${entry}`, model: 'base', entry, body: '{"ask":2}' }))
+    const others: FleetRequest[] = fleet.entries.map((_, entry) => ({ path: crashPath, id: `other-body-${entry}`, model: 'base', entry, body: '{"ask":2}' }))
     for (const engine of fleet.engines) engine.crashPath = undefined
-    const replies = await Promise.all(others.map(ask))
+    const replies = await Promise.all(others.map(send))
     expect(replies.map(reply => reply?.status)).to.deep.equal(replies.map(() => 200))
   })
 })
--- a/packages/fleet/test/replay/limit-simulation.ts
+++ b/packages/fleet/test/replay/limit-simulation.ts
@@ -76,8 +76,8 @@
     const server = this.server
     await limits.awaitCapacity(server)
     if (limits.state(server)?.ready === false) return false
-    const pass = limits.acquire(server)
-    if (pass === undefined) return false
+    const permit = limits.acquire(server)
+    if (permit === undefined) return false
     const sentAt = nowMs()
     this.arrivals.push({ at: sentAt, entry, limitReportedAt: simulated.limitReportedAt })
     const advertised = this.perSecond
--- a/packages/fleet/test/replay/load-simulation.ts
+++ b/packages/fleet/test/replay/load-simulation.ts
@@ -48,7 +48,7 @@
   return { type: 'bring', ask: coming ? undefined : least.id, held: false, reason: 'held nowhere' }
 }
 
-/** What is compared: how an entry selects an engine, and the rank of a request, the lowest first. */
+/** A routing policy to compare: how an entry selects an engine, and the rank of a request, the lowest first. */
 export interface Policy {
   choose: (choice: EngineSelection) => Choice
   rank: (input: RankInput) => number
@@ -102,13 +102,13 @@
   prefillRate: number
   /** Requests whose prompts it has not fully prefilled, the next ones first. */
   prefilling: SimulatedRequest[]
-  running: Array<{ job: SimulatedRequest, endsAt: number }>
+  running: Array<{ request: SimulatedRequest, endsAt: number }>
   /** Loaded adapters by time of last use; adapters being loaded, by time of completion; copies in memory, the oldest first. */
   held: Map<string, number>
   coming: Map<string, number>
   warm: Set<string>
   /** Adapters that entries asked it to load, in order. */
-  asked: string[]
+  loadQueue: string[]
 }
 
 /** An engine's load as reported to entries. */
@@ -127,7 +127,7 @@
 
 const noOutcomes = (): Outcome => ({ asked: 0, inTime: 0, late: 0, refused: 0 })
 
-const range = (count: number): number[] => Array.from({ length: count }, (_, at) => at)
+const range = (count: number): number[] => Array.from({ length: count }, (_, index) => index)
 
 export class LoadSimulation {
   readonly outcomes = new Map<string, Outcome>()
@@ -142,9 +142,9 @@
   constructor (private readonly pattern: LoadPattern, private readonly policy: Policy) {
     this.#random = xoroshiro128plus(pattern.seed)
     const { engines, slow } = pattern
-    const rateOf = (at: number): number => slow !== undefined && at < slow.engines ? tokensPerMs * slow.share : tokensPerMs
-    this.#engines = range(engines).map(at => ({
-      id: `engine-${at}`, hash: hashOf(`engine-${at}`), prefillRate: rateOf(at), prefilling: [], running: [], held: new Map(), coming: new Map(), warm: new Set(), asked: []
+    const rateOf = (index: number): number => slow !== undefined && index < slow.engines ? tokensPerMs * slow.share : tokensPerMs
+    this.#engines = range(engines).map(index => ({
+      id: `engine-${index}`, hash: hashOf(`engine-${index}`), prefillRate: rateOf(index), prefilling: [], running: [], held: new Map(), coming: new Map(), warm: new Set(), loadQueue: []
     }))
     for (const { name } of pattern.kinds) this.outcomes.set(name, noOutcomes())
   }
@@ -194,32 +194,32 @@
     let tokens = engine.prefillRate * tickMs
     engine.prefilling.sort((a, b) => a.sentRank - b.sentRank || a.sentAt - b.sentAt)
     while (tokens > 0 && engine.prefilling[0] !== undefined) {
-      const job = engine.prefilling[0]
-      const prefilled = Math.min(tokens, job.unread)
-      job.unread -= prefilled
+      const request = engine.prefilling[0]
+      const prefilled = Math.min(tokens, request.unread)
+      request.unread -= prefilled
       tokens -= prefilled
-      if (job.unread > 0) break
+      if (request.unread > 0) break
       engine.prefilling.shift()
-      engine.running.push({ job, endsAt: this.#now + job.kind.runMs })
-      this.#outcome(job.kind)[this.#now - job.arrived <= job.kind.objectiveMs ? 'inTime' : 'late'] += 1
+      engine.running.push({ request, endsAt: this.#now + request.kind.runMs })
+      this.#outcome(request.kind)[this.#now - request.arrived <= request.kind.objectiveMs ? 'inTime' : 'late'] += 1
     }
     this.#startLoads(engine)
   }
 
   /** Starts the requested loads in order, evicting the least recently used adapter that no request uses. */
   #startLoads (engine: Engine): void {
-    while (engine.asked.length > 0 && engine.coming.size < maxConcurrentLoads) {
-      const key = engine.asked[0] ?? ''
+    while (engine.loadQueue.length > 0 && engine.coming.size < maxConcurrentLoads) {
+      const key = engine.loadQueue[0] ?? ''
       if (!engine.held.has(key) && !engine.coming.has(key)) {
         if (engine.held.size + engine.coming.size >= this.pattern.places && !this.#evict(engine)) return
         engine.coming.set(key, this.#now + (engine.warm.has(key) ? warmLoadMs : coldLoadMs))
       }
-      engine.asked.shift()
+      engine.loadQueue.shift()
     }
   }
 
   #evict (engine: Engine): boolean {
-    const used = new Set([...engine.running.map(({ job }) => job.key), ...engine.prefilling.map(job => job.key)])
+    const used = new Set([...engine.running.map(({ request }) => request.key), ...engine.prefilling.map(request => request.key)])
     const [victim] = [...engine.held].filter(([key, at]) => !used.has(key) && this.#now - at > evictionGraceMs).sort(([, a], [, b]) => a - b)
     if (victim === undefined) return false
     engine.held.delete(victim[0])
@@ -232,7 +232,7 @@
 
   #report (): void {
     this.#reports.push(this.#engines.map(({ prefilling, running }) => ({
-      load: prefilling.length + running.length, unread: prefilling.reduce((sum, job) => sum + job.unread, 0)
+      load: prefilling.length + running.length, unread: prefilling.reduce((sum, request) => sum + request.unread, 0)
     })))
     if (this.#reports.length > reportDelayMs / tickMs) this.#reports.shift()
     while (this.#unreported[0] !== undefined && this.#now - this.#unreported[0].at > reportDelayMs) this.#unreported.shift()
@@ -243,46 +243,46 @@
   }
 
   #route (): void {
-    const ranked = [...this.#waiting].map(job => ({ job, rank: this.#rank(job) }))
-    ranked.sort((a, b) => a.rank - b.rank || a.job.arrived - b.job.arrived)
-    for (const { job } of ranked) {
-      const choice = this.policy.choose(this.#selectionOf(job))
-      if (choice.type === 'send') this.#send(job, Number(choice.id.split('-')[1]))
-      else if (choice.type === 'bring' && choice.ask !== undefined) this.#requestLoad(job, Number(choice.ask.split('-')[1]))
-      if (choice.type !== 'send' && this.#now - job.arrived > job.kind.deadlineMs * maxWaitShare) this.#refuse(job)
+    const ranked = [...this.#waiting].map(request => ({ request, rank: this.#rank(request) }))
+    ranked.sort((a, b) => a.rank - b.rank || a.request.arrived - b.request.arrived)
+    for (const { request } of ranked) {
+      const choice = this.policy.choose(this.#selectionOf(request))
+      if (choice.type === 'send') this.#send(request, Number(choice.id.split('-')[1]))
+      else if (choice.type === 'bring' && choice.ask !== undefined) this.#requestLoad(request, Number(choice.ask.split('-')[1]))
+      if (choice.type !== 'send' && this.#now - request.arrived > request.kind.deadlineMs * maxWaitShare) this.#refuse(request)
     }
   }
 
-  #send (job: SimulatedRequest, at: number): void {
-    this.#waiting.delete(job)
-    job.sentAt = this.#now
-    job.sentRank = this.#rank(job)
-    const engine = this.#engines[at]
+  #send (request: SimulatedRequest, index: number): void {
+    this.#waiting.delete(request)
+    request.sentAt = this.#now
+    request.sentRank = this.#rank(request)
+    const engine = this.#engines[index]
     if (engine === undefined) return
-    engine.held.set(job.key, this.#now)
-    engine.prefilling.push(job)
-    this.#unreported.push({ at: this.#now, entry: job.entry, engine: at, tokens: job.tokens })
+    engine.held.set(request.key, this.#now)
+    engine.prefilling.push(request)
+    this.#unreported.push({ at: this.#now, entry: request.entry, engine: index, tokens: request.tokens })
   }
 
-  #requestLoad ({ key }: SimulatedRequest, at: number): void {
-    const engine = this.#engines[at]
-    if (engine !== undefined && !engine.asked.includes(key) && !engine.coming.has(key)) engine.asked.push(key)
+  #requestLoad ({ key }: SimulatedRequest, index: number): void {
+    const engine = this.#engines[index]
+    if (engine !== undefined && !engine.loadQueue.includes(key) && !engine.coming.has(key)) engine.loadQueue.push(key)
   }
 
-  #refuse (job: SimulatedRequest): void {
-    this.#waiting.delete(job)
-    this.#outcome(job.kind).refused += 1
+  #refuse (request: SimulatedRequest): void {
+    this.#waiting.delete(request)
+    this.#outcome(request.kind).refused += 1
   }
 
-  #selectionOf (job: SimulatedRequest): EngineSelection {
-    const { kind, key, arrived } = job
+  #selectionOf (request: SimulatedRequest): EngineSelection {
+    const { kind, key, arrived } = request
     const left = kind.objectiveMs - (this.#now - arrived)
-    return { candidates: this.#engines.map((engine, at) => this.#candidateOf(engine, at, job)), domain: 'd', key, inTimeMs: left > 0 ? left : Infinity }
+    return { candidates: this.#engines.map((engine, index) => this.#candidateOf(engine, index, request)), domain: 'd', key, inTimeMs: left > 0 ? left : Infinity }
   }
 
-  #candidateOf (engine: Engine, at: number, { key, tokens, entry }: SimulatedRequest): EngineCandidate {
-    const report = this.#reports[0]?.[at]
-    const unreported = this.#unreported.filter(sent => sent.engine === at && sent.entry === entry)
+  #candidateOf (engine: Engine, index: number, { key, tokens, entry }: SimulatedRequest): EngineCandidate {
+    const report = this.#reports[0]?.[index]
+    const unreported = this.#unreported.filter(sent => sent.engine === index && sent.entry === entry)
     const unread = Math.max(0, (report?.unread ?? 0) - reportDelayMs * engine.prefillRate) + unreported.reduce((sum, sent) => sum + sent.tokens, 0)
     return {
       id: engine.id,
@@ -294,7 +294,7 @@
       fallback: false,
       // Entries learn of loads without delay.
       holds: engine.held.has(key),
-      coming: engine.coming.has(key) || engine.asked.includes(key),
+      coming: engine.coming.has(key) || engine.loadQueue.includes(key),
       expectedMs: (unread + tokens) / engine.prefillRate,
       warm: engine.warm.has(key),
       canRequestLoad: true
--- a/packages/fleet/test/request-queue.test.ts
+++ b/packages/fleet/test/request-queue.test.ts
@@ -49,13 +49,13 @@
   })
 
   it('scans only requests that wait for capacity when capacity becomes free', async () => {
-    wait('place', queuedRequest('a'))
+    wait('capacity', queuedRequest('a'))
     wait('adapter', queuedRequest('b'), { type: 'bring', ask: 'e', held: false, reason: 'held nowhere' })
     wait('either', queuedRequest('c'), { type: 'bring', ask: 'e', held: true, reason: 'its holders are full' })
     freeSlots = 3
     queue.scheduleCapacityScan()
     await time.advance(50)
-    expect(order).to.deep.equal(['place chosen', 'either chosen'])
+    expect(order).to.deep.equal(['capacity chosen', 'either chosen'])
   })
 
   it('requests the load of an adapter with the number of requests that wait for it', async () => {
@@ -98,7 +98,7 @@
     it('counts the requests of the same service that are ahead', () => {
       for (const rank of [1, 2, 5]) wait(`rank ${rank}`, limitedRequest(rank), limited)
       wait('elsewhere', { ...limitedRequest(1), service: 'others' }, limited)
-      wait('for a place', queuedRequest('key', 1))
+      wait('for capacity', queuedRequest('key', 1))
       expect([0, 2, 9].map(rank => queue.limitedAhead('engines', rank))).to.deep.equal([0, 2, 3])
     })
 
--- a/packages/fleet/test/route-change-propagation.test.ts
+++ b/packages/fleet/test/route-change-propagation.test.ts
@@ -80,24 +80,24 @@
     await fleet.stop()
   })
 
-  /** Applies `harm` to the connections of these entries to the store for `faultMs`. */
-  const injectFault = async (entries: readonly number[], harm: ConnectionFault): Promise<void> => {
-    const fronts = entries.map(entry => fleet.storeProxies[entry] as FaultProxy)
-    for (const front of fronts) {
-      front.fault = harm
-      front.resetAll()
+  /** Applies `fault` to the connections of these entries to the store for `faultMs`. */
+  const injectFault = async (entries: readonly number[], fault: ConnectionFault): Promise<void> => {
+    const proxies = entries.map(entry => fleet.storeProxies[entry] as FaultProxy)
+    for (const proxy of proxies) {
+      proxy.fault = fault
+      proxy.resetAll()
     }
     await pause(faultMs)
-    for (const front of fronts) {
-      front.fault = { type: 'none' }
-      front.resetAll()
+    for (const proxy of proxies) {
+      proxy.fault = { type: 'none' }
+      proxy.resetAll()
     }
   }
 
-  for (const harm of [{ type: 'reset' }, { type: 'silence' }] as ConnectionFault[]) {
-    it(`are in force everywhere in time if its calls meet ${harm.type}`, async () => {
+  for (const fault of [{ type: 'reset' }, { type: 'silence' }] as ConnectionFault[]) {
+    it(`are in force everywhere in time if its calls meet ${fault.type}`, async () => {
       expectNoLateChanges(await lateDuring(changes, async () => {
-        await injectFault([0], harm)
+        await injectFault([0], fault)
         return []
       }, recoveryMs))
     })
@@ -128,24 +128,24 @@
   beforeEach(() => { changes = new RouteChanges(fleet, `changed-${Math.round(performance.now())}`) })
   afterEach(() => changes.close())
 
-  const side = (place: number): Machine => fleet.sides[place] as Machine
+  const side = (index: number): Machine => fleet.sides[index] as Machine
 
   const disruptions: Array<[name: string, disrupt: () => Promise<readonly number[]>]> = [
     ['if side processes freeze and resume one after the other', async () => {
-      for (const place of [0, 1]) {
-        side(place).process?.kill('SIGSTOP')
+      for (const index of [0, 1]) {
+        side(index).process?.kill('SIGSTOP')
         await pause(recoveryMs)
-        side(place).process?.kill('SIGCONT')
+        side(index).process?.kill('SIGCONT')
       }
       return []
     }],
     ['if side processes are restarted one after the other, each right after a change', async () => {
-      for (const place of [0, 1]) {
+      for (const index of [0, 1]) {
         changes.add()
-        await fleet.kill(side(place), 'SIGTERM')
+        await fleet.kill(side(index), 'SIGTERM')
         changes.add()
         await pause(changeIntervalMs)
-        await fleet.startProcess(side(place))
+        await fleet.startProcess(side(index))
       }
       return []
     }],
--- a/packages/fleet/test/server-backoff.test.ts
+++ b/packages/fleet/test/server-backoff.test.ts
@@ -11,8 +11,8 @@
 import { expect } from 'chai'
 
 const backoffMs = 1500
-/** The backoff binds an entry from this long after the answer that asks for it. */
-const bindingMs = 500
+/** The backoff applies to an entry from this long after the response that asks for it. */
+const effectiveAfterMs = 500
 /** From then until the backoff ends, at most this many requests of one entry may reach the server. */
 const maxDuringBackoff = 2
 const requestIntervalMs = 25
@@ -50,12 +50,12 @@
     const counts = fleet.entries.flatMap((_, entry) => {
       const ownArrivals = server.arrivals.filter(({ id }) => id.startsWith(load.idPrefix(entry)))
       return ownArrivals.filter(({ refused }) => refused).map(({ at }) =>
-        ownArrivals.filter(other => other.at > at + bindingMs && other.at < at + backoffMs).length)
+        ownArrivals.filter(other => other.at > at + effectiveAfterMs && other.at < at + backoffMs).length)
     })
     return Math.max(0, ...counts)
   }
 
-  it('receive no requests from the entries that they asked, while other servers answer', async () => {
+  it('receive no requests from the entries that they asked to back off, while other servers answer', async () => {
     const engine = fleet.engines.find(each => each.adapters.has('a1')) as BackendStandIn
     const plain = fleet.plainServers[0] as BackendStandIn
     askForBackoff([engine, plain])
@@ -68,14 +68,14 @@
 
   it('make entries answer at once with a retry time when all of them are in backoff', async () => {
     askForBackoff(fleet.plainServers)
-    const askedForMs = bindingMs * 2
-    await load.sendFor(askedForMs, requestIntervalMs, ['/again/x'])
-    const [answer] = await Promise.all([load.send(0, '/again/x'), load.send(1, '/again/x')])
-    expect(answer.status).to.equal(503)
-    expect(answer.endedAt - answer.at).to.be.lessThan(immediateMs)
-    expect(answer.retryAfterMs).to.be.within(1, backoffMs - askedForMs + slackMs)
+    const elapsedMs = effectiveAfterMs * 2
+    await load.sendFor(elapsedMs, requestIntervalMs, ['/again/x'])
+    const [response] = await Promise.all([load.send(0, '/again/x'), load.send(1, '/again/x')])
+    expect(response.status).to.equal(503)
+    expect(response.endedAt - response.at).to.be.lessThan(immediateMs)
+    expect(response.retryAfterMs).to.be.within(1, backoffMs - elapsedMs + slackMs)
     for (const server of fleet.plainServers) server.fault = 'none'
-    await pause(answer.retryAfterMs)
+    await pause(response.retryAfterMs)
     expect(await load.send(0, '/again/x')).to.include({ status: 200 })
     expect(fleet.plainServers.map(maxArrivals).every(most => most <= maxDuringBackoff)).to.equal(true)
   })
--- a/packages/fleet/test/server-limits.test.ts
+++ b/packages/fleet/test/server-limits.test.ts
@@ -50,7 +50,7 @@
     }
   })
 
-  describe('can not be saved up by entries', () => {
+  describe('cannot be saved up by entries', () => {
     for (const entries of [3, 26, 68]) {
       for (const perSecond of [0.5, 1.3, 4.8, 50]) {
         it(`${entries} entries, ${perSecond} per second, no demand for 8 s and then far too much`, async () => {
@@ -152,7 +152,7 @@
           for (const each of steps) await (actions[each.type] as (each: Step) => Promise<void> | void)(each)
           simulation.stop()
           // Counts requests sent more than 0.5 s after their entry first reported a limit, which has propagated by then.
-          const counts = ({ at, limitReportedAt: toldAt }: Arrival): boolean => toldAt !== undefined && at > toldAt + 500
+          const counts = ({ at, limitReportedAt }: Arrival): boolean => limitReportedAt !== undefined && at > limitReportedAt + 500
           for (const { from, requests } of simulation.windows(windowMs, counts)) expect(requests).to.be.at.most(allowed(highestLimit(from, from + windowMs)))
         }), { numRuns: 60 })
       })
--- a/packages/fleet/test/server-liveness.test.ts
+++ b/packages/fleet/test/server-liveness.test.ts
@@ -28,7 +28,7 @@
     expect(await new ServerLiveness().ended(server)).to.equal(true)
   })
 
-  it('probes once for all requests that broke off together, and again later', async () => {
+  it('probes once for all attempts that failed at the same time, and again later', async () => {
     let probes = 0
     const liveness = new ServerLiveness(async () => {
       probes += 1
--- a/packages/fleet/test/teams.test.ts
+++ b/packages/fleet/test/teams.test.ts
@@ -118,7 +118,7 @@
     this.timeout(60_000)
     let fleet: FleetSystem
     let sent = 0
-    const ask = (asked: Omit<FleetRequest, 'id'> & { id?: string }): Promise<FleetResponse> => sendToFleet(fleet, { id: `team-request-${sent++}`, ...asked })
+    const send = (request: Omit<FleetRequest, 'id'> & { id?: string }): Promise<FleetResponse> => sendToFleet(fleet, { id: `team-request-${sent++}`, ...request })
     const withKey = (key: string): Record<string, string> => ({ authorization: `Token ${key}` })
     const tenants = (...keys: string[]): Record<string, unknown> => ({ tenants: [{ name: 'red', apiKeys: keys, priority: 0 }] })
     const publish = (more: Record<string, unknown>): void => { fleet.store.put('config', 'main', fleet.table(fleet.store.revision + 10, more)) }
@@ -127,14 +127,14 @@
       fleet = new FleetSystem({ network: 45, domains: 1, entriesPerDomain: 1, enginesPerDomain: 1, plainServersPerDomain: 1, adapterSlots: 3, loadMs: 60, workMs: 5, events: 5, eventMs: 5 })
       await fleet.start()
       publish(tenants('red-key-one', 'red-key-two'))
-      await eventually('keys are required', async () => (await ask({ path: '/once/x' })).status === 401)
+      await eventually('keys are required', async () => (await send({ path: '/once/x' })).status === 401)
     })
 
     after(async () => { await fleet.stop() })
 
     it('runs a request with a key for its team, without passing the key on', async () => {
       const id = 'team-request-known'
-      expect(await ask({ id, path: '/once/x', headers: { ...withKey('red-key-one'), tenant: 'blue' } })).to.include({ status: 200 })
+      expect(await send({ id, path: '/once/x', headers: { ...withKey('red-key-one'), tenant: 'blue' } })).to.include({ status: 200 })
       const headers = fleet.plainServers[0]?.headers.get(id)
       expect(headers).to.include({ tenant: 'red' })
       expect(headers).to.not.have.property('authorization')
@@ -142,8 +142,8 @@
 
     it('rejects a request with an unknown key or with two different keys, and does not run it', async () => {
       const id = 'team-request-unknown'
-      expect(await ask({ id, path: '/once/x', headers: withKey('green-key') })).to.include({ status: 401 })
-      expect(await ask({ path: '/stream/x', model: 'base/a1', headers: { authorization: ['Token red-key-one', 'Token green-key'] } })).to.include({ status: 401 })
+      expect(await send({ id, path: '/once/x', headers: withKey('green-key') })).to.include({ status: 401 })
+      expect(await send({ path: '/stream/x', model: 'base/a1', headers: { authorization: ['Token red-key-one', 'Token green-key'] } })).to.include({ status: 401 })
       expect(fleet.plainServers[0]?.startedIds).to.not.include(id)
     })
 
@@ -151,12 +151,12 @@
       const engine = fleet.engines[0]
       if (engine === undefined) throw new Error('the fleet has no engine')
       engine.options.engine = { model: 'base', places: 3, loadMs: 700 }
-      const waiting = ask({ id: 'team-request-waiting', path: '/stream/x', model: 'base/a9', headers: withKey('red-key-two') })
+      const waiting = send({ id: 'team-request-waiting', path: '/stream/x', model: 'base/a9', headers: withKey('red-key-two') })
       await pause(200)
       publish(tenants('red-key-one'))
       expect((await waiting).status).to.equal(401)
       expect(engine.startedIds).to.not.include('team-request-waiting')
-      expect(await ask({ path: '/once/x', headers: withKey('red-key-one') })).to.include({ status: 200 })
+      expect(await send({ path: '/once/x', headers: withKey('red-key-one') })).to.include({ status: 200 })
     })
 
     it('writes no key to the logs', () => {
--- a/packages/fleet/test/unknown-routes.test.ts
+++ b/packages/fleet/test/unknown-routes.test.ts
@@ -9,33 +9,33 @@
 
 /** A change has to be in force this long after the store has acknowledged it. */
 const applyMs = 2000
-/** By then an entry that doesn't read the store itself has received a freshness proof from another process. */
+/** By then an entry that doesn't watch the store itself has received a freshness proof from another process. */
 const proofMs = 500
 const entriesPerDomain = 5
 
 describe('a request for an unknown route', function () {
   this.timeout(60_000)
   let fleet: FleetSystem
-  let asked = 0
+  let requestCount = 0
 
-  const ask = async (entry: number): Promise<FleetResponse> => {
-    asked += 1
-    return await sendToFleet(fleet, { path: '/unknown/x', id: `unknown-${asked}`, entry })
+  const send = async (entry: number): Promise<FleetResponse> => {
+    requestCount += 1
+    return await sendToFleet(fleet, { path: '/unknown/x', id: `unknown-${requestCount}`, entry })
   }
 
   before(async () => {
     fleet = new FleetSystem({ network: 61, domains: 1, entriesPerDomain, enginesPerDomain: 2, plainServersPerDomain: 1, adapterSlots: 4, loadMs: 50, workMs: 5, events: 4, eventMs: 5 })
     await fleet.start()
-    // Only the three entries that are appointed to read the store do so.
+    // Only the three entries that are appointed to watch the store do so.
     await pause(applyMs)
   })
 
   after(async () => { await fleet.stop() })
 
-  it('gets 404 promptly while the store is available, both from entries that read it and from those that don\'t', async () => {
+  it('gets 404 promptly while the store is available, both from entries that watch it and from those that don\'t', async () => {
     for (let entry = 0; entry < entriesPerDomain; entry++) {
       const startedAt = performance.now()
-      expect((await ask(entry)).status).to.equal(404)
+      expect((await send(entry)).status).to.equal(404)
       expect(performance.now() - startedAt).to.be.lessThan(proofMs)
     }
   })
@@ -48,7 +48,7 @@
 
     it('is refused as not run, with Retry-After, since the route may have been added', async () => {
       for (let entry = 0; entry < entriesPerDomain; entry++) {
-        const { status, headers } = await ask(entry)
+        const { status, headers } = await send(entry)
         expect(status).to.equal(503)
         expect(Number(headers['retry-after'])).to.be.greaterThan(0)
       }
@@ -59,7 +59,7 @@
       fleet.store.put('config', 'main', fleet.table(2))
       fleet.store.fault = 'none'
       await pause(applyMs)
-      for (let entry = 0; entry < entriesPerDomain; entry++) expect((await ask(entry)).status).to.equal(200)
+      for (let entry = 0; entry < entriesPerDomain; entry++) expect((await send(entry)).status).to.equal(200)
     })
   })
 })
--- a/packages/fleet/test/update-sources.test.ts
+++ b/packages/fleet/test/update-sources.test.ts
@@ -3,36 +3,36 @@
 import { FakeTime } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-const localHosts = Array.from({ length: 11 }, (_, each) => `10.1.0.${each}`)
-const remoteHosts = Array.from({ length: 43 }, (_, each) => `10.2.0.${each}`)
+const local = Array.from({ length: 11 }, (_, each) => `10.1.0.${each}`)
+const remote = Array.from({ length: 43 }, (_, each) => `10.2.0.${each}`)
 
 describe('the sources of engine updates', () => {
   it('are the own side process of a local engine, and a local side process for each remote one', () => {
-    const sources = selectUpdateSources({ local: localHosts, remote: remoteHosts })
-    for (const host of localHosts) expect(sources.get(host)).to.equal(host)
-    for (const host of remoteHosts) expect(localHosts).to.include(sources.get(host))
+    const sources = selectUpdateSources({ local, remote })
+    for (const host of local) expect(sources.get(host)).to.equal(host)
+    for (const host of remote) expect(local).to.include(sources.get(host))
   })
 
   it('are the same for all entries of a domain, in whatever order they learned of the hosts', () => {
-    expect(selectUpdateSources({ local: [...localHosts].reverse(), remote: remoteHosts })).to.deep.equal(selectUpdateSources({ local: localHosts, remote: remoteHosts }))
+    expect(selectUpdateSources({ local: [...local].reverse(), remote })).to.deep.equal(selectUpdateSources({ local, remote }))
   })
 
   it('spread remote engines over the local side processes', () => {
     const counts = new Map<string, number>()
-    const sources = selectUpdateSources({ local: localHosts, remote: remoteHosts })
-    for (const host of remoteHosts) counts.set(sources.get(host) ?? '', (counts.get(sources.get(host) ?? '') ?? 0) + 1)
+    const sources = selectUpdateSources({ local, remote })
+    for (const host of remote) counts.set(sources.get(host) ?? '', (counts.get(sources.get(host) ?? '') ?? 0) + 1)
     expect(Math.max(...counts.values())).to.be.at.most(12)
   })
 
   it('change only for the engines of a side process that is lost', () => {
-    const before = selectUpdateSources({ local: localHosts, remote: remoteHosts })
-    const lost = localHosts[4] ?? ''
-    const after = selectUpdateSources({ local: localHosts.filter(host => host !== lost), remote: remoteHosts })
-    for (const host of remoteHosts) if (before.get(host) !== lost) expect(after.get(host)).to.equal(before.get(host))
+    const before = selectUpdateSources({ local, remote })
+    const lost = local[4] ?? ''
+    const after = selectUpdateSources({ local: local.filter(host => host !== lost), remote })
+    for (const host of remote) if (before.get(host) !== lost) expect(after.get(host)).to.equal(before.get(host))
   })
 
   it('are each engine\'s own side process if there is no local one', () => {
-    for (const [host, source] of selectUpdateSources({ local: [], remote: remoteHosts })) expect(source).to.equal(host)
+    for (const [host, source] of selectUpdateSources({ local: [], remote })) expect(source).to.equal(host)
   })
 
   describe('as hosts change', () => {
@@ -47,15 +47,15 @@
     afterEach(() => time.restore())
 
     it('are selected once no more local side processes connect', async () => {
-      for (let each = 1; each <= localHosts.length; each++) {
-        expect(sources.select({ local: localHosts.slice(0, each), remote: remoteHosts })).to.equal(false)
+      for (let each = 1; each <= local.length; each++) {
+        expect(sources.select({ local: local.slice(0, each), remote })).to.equal(false)
         await time.advance(100)
       }
-      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(false)
+      expect(sources.select({ local, remote })).to.equal(false)
       await time.advance(200)
-      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(true)
-      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(false)
-      expect(localHosts).to.include(sources.sourceOf(remoteHosts[0] ?? ''))
+      expect(sources.select({ local, remote })).to.equal(true)
+      expect(sources.select({ local, remote })).to.equal(false)
+      expect(local).to.include(sources.sourceOf(remote[0] ?? ''))
     })
 
     /*
@@ -63,31 +63,31 @@
      * for just as long, an early check cost another 200 ms, and updates relayed by a frozen side process resumed after 1.6 s.
      */
     it('are selected at the second check, even if it is slightly early', async () => {
-      sources.select({ local: localHosts, remote: remoteHosts })
+      sources.select({ local, remote })
       await time.advance(300)
-      expect(sources.select({ local: localHosts, remote: remoteHosts })).to.equal(true)
-      const remaining = localHosts.slice(1)
-      expect(sources.select({ local: remaining, remote: remoteHosts })).to.equal(false)
+      expect(sources.select({ local, remote })).to.equal(true)
+      const remaining = local.slice(1)
+      expect(sources.select({ local: remaining, remote })).to.equal(false)
       await time.advance(199)
-      expect(sources.select({ local: remaining, remote: remoteHosts })).to.equal(true)
+      expect(sources.select({ local: remaining, remote })).to.equal(true)
     })
 
     it('are each engine\'s own side process once no local one has responded for a second', async () => {
-      sources.select({ local: localHosts, remote: remoteHosts })
+      sources.select({ local, remote })
       await time.advance(300)
-      sources.select({ local: localHosts, remote: remoteHosts })
+      sources.select({ local, remote })
       const selectedAtMs: number[] = []
       for (let ms = 0; ms <= 2000; ms += 100) {
-        if (sources.select({ local: [], remote: remoteHosts }) && sources.sourceOf(remoteHosts[0] ?? '') === remoteHosts[0]) selectedAtMs.push(ms)
+        if (sources.select({ local: [], remote }) && sources.sourceOf(remote[0] ?? '') === remote[0]) selectedAtMs.push(ms)
         await time.advance(100)
       }
-      expect(sources.subscriptionsAt(remoteHosts[0] ?? '', false)).to.deep.equal([remoteHosts[0]])
+      expect(sources.subscriptionsAt(remote[0] ?? '', false)).to.deep.equal([remote[0]])
       expect(selectedAtMs.at(-1)).to.be.within(1000, 1400)
     })
 
     it('are, before the first selection, only the own side processes of local engines', () => {
-      expect(sources.subscriptionsAt(localHosts[0] ?? '', true)).to.deep.equal([localHosts[0]])
-      expect(sources.subscriptionsAt(remoteHosts[0] ?? '', false)).to.deep.equal([])
+      expect(sources.subscriptionsAt(local[0] ?? '', true)).to.deep.equal([local[0]])
+      expect(sources.subscriptionsAt(remote[0] ?? '', false)).to.deep.equal([])
     })
   })
 })
--- a/packages/fleet/test/watch-duty.test.ts
+++ b/packages/fleet/test/watch-duty.test.ts
@@ -4,38 +4,38 @@
 describe('which entries watch the platform\'s store', () => {
   describe('the duty of an entry', () => {
     const notAppointed = { watch: false, outage: false }
-    const view = { appointments: [notAppointed, notAppointed], hasSynced: true, confirmedMs: 300, lacksProof: false }
+    const input = { appointments: [notAppointed, notAppointed], hasSynced: true, confirmedMs: 300, lacksProof: false }
 
     it('is not to watch if local side processes appoint others', () => {
-      expect(decideWatchDuty(view)).to.deep.equal({ watch: false, reason: 'left to others' })
+      expect(decideWatchDuty(input)).to.deep.equal({ watch: false, reason: 'left to others' })
     })
 
     it('is to watch if any side process appoints it', () => {
-      expect(decideWatchDuty({ ...view, appointments: [notAppointed, { watch: true, outage: false }] })).to.include({ watch: true, reason: 'named' })
+      expect(decideWatchDuty({ ...input, appointments: [notAppointed, { watch: true, outage: false }] })).to.include({ watch: true, reason: 'named' })
     })
 
     it('is to watch if no local side process responds', () => {
-      expect(decideWatchDuty({ ...view, appointments: [] })).to.include({ watch: true })
+      expect(decideWatchDuty({ ...input, appointments: [] })).to.include({ watch: true })
     })
 
     it('is to watch until every kind of fact has been received', () => {
-      expect(decideWatchDuty({ ...view, hasSynced: false })).to.include({ watch: true })
+      expect(decideWatchDuty({ ...input, hasSynced: false })).to.include({ watch: true })
     })
 
     it('is to watch if the list of servers has not been confirmed for long', () => {
-      expect(decideWatchDuty({ ...view, confirmedMs: 6500 })).to.include({ watch: true, reason: 'nothing was confirmed' })
+      expect(decideWatchDuty({ ...input, confirmedMs: 6500 })).to.include({ watch: true, reason: 'nothing was confirmed' })
     })
 
     it('is to watch if keys need a proof and none arrives', () => {
-      expect(decideWatchDuty({ ...view, lacksProof: true })).to.include({ watch: true, reason: 'keys are not confirmed' })
+      expect(decideWatchDuty({ ...input, lacksProof: true })).to.include({ watch: true, reason: 'keys are not confirmed' })
     })
 
     it('is not to watch if keys need a proof but the store answers no entry', () => {
-      expect(decideWatchDuty({ ...view, appointments: [{ watch: false, outage: true }], lacksProof: true })).to.include({ watch: false })
+      expect(decideWatchDuty({ ...input, appointments: [{ watch: false, outage: true }], lacksProof: true })).to.include({ watch: false })
     })
 
     it('is not to watch if nothing has been confirmed but the store answers no entry', () => {
-      expect(decideWatchDuty({ ...view, appointments: [{ watch: false, outage: true }], confirmedMs: 6500 })).to.include({ watch: false })
+      expect(decideWatchDuty({ ...input, appointments: [{ watch: false, outage: true }], confirmedMs: 6500 })).to.include({ watch: false })
     })
   })
 
