--- a/packages/core/test/configuration.test.ts
+++ b/packages/core/test/configuration.test.ts
@@ -5,7 +5,7 @@
 const document = { teams: [{ name: 'quetzal', tokens: [] }], models: [{ name: 'base-7b' }], services: [], adapters: [adapter] }
 
 describe('configuration', () => {
-  describe('check', () => {
+  describe('validateConfiguration', () => {
     it('accepts a valid document', () => {
       expect(validateConfiguration(document).isOk()).to.equal(true)
     })
@@ -31,7 +31,7 @@
     })
   })
 
-  describe('versionOf', () => {
+  describe('resolveVersion', () => {
     const [parsedAdapter] = validateConfiguration(document)._unsafeUnwrap().adapters
     if (parsedAdapter === undefined) throw new Error('expected the document to have an adapter')
 
--- a/packages/decisions/src/crash-history.ts
+++ b/packages/decisions/src/crash-history.ts
@@ -53,10 +53,10 @@
 }
 
 /**
- * A replay sends a request that crashes each engine that runs it, every 1.3 s for a minute, among 230 others per second on 13
- * engines. Of the others it loses 350 where the request is never refused, 75 where it is refused for good after one crash, 9 after
- * two, 10 after three, and 2 with these limits. With an unrelated crash every 3 s on top, it loses 773, 737, 5, 5 and 7 (means of
- * ten seeds).
+ * In a simulation, a request that crashes each engine that runs it is sent every 1.3 s for a minute, among 230 others per second on
+ * 13 engines. Of the others, 350 are lost if the request is never refused, 75 if it is refused for good after one crash, 9 after
+ * two, 10 after three, and 2 with these limits. With an unrelated crash every 3 s in addition, the losses are 773, 737, 5, 5 and 7
+ * (means of ten seeds).
  */
 export const quarantineLimits: QuarantineLimits = {
   shortThreshold: 2,
--- a/packages/decisions/src/eviction.ts
+++ b/packages/decisions/src/eviction.ts
@@ -10,9 +10,9 @@
 export class Popularity {
   readonly #uses: DecayingSum
 
-  /** `halfLife`: milliseconds after which a use counts half. */
-  constructor (halfLife = popularityHalfLifeMs) {
-    this.#uses = new DecayingSum(halfLife)
+  /** `halfLifeMs`: the time after which a use counts half. */
+  constructor (halfLifeMs = popularityHalfLifeMs) {
+    this.#uses = new DecayingSum(halfLifeMs)
   }
 
   /** Counts one use. */
--- a/packages/decisions/src/server-backoff.ts
+++ b/packages/decisions/src/server-backoff.ts
@@ -2,7 +2,7 @@
  * A backoff that a backend server requested: whether requests may be sent to it, and how many at once after the backoff.
  *
  * An overloaded server rejects requests and states how long it wants none. That is no failure of the server and says nothing
- * about the request, so failures are counted elsewhere. If all waiting requests were sent to it when the backoff ends, it would ask
+ * about the request, so it is kept apart from failures. If all waiting requests were sent to it when the backoff ends, it would ask
  * for another one. So it first gets a single request, and its concurrency limit ramps up once that request has been answered.
  */
 
--- a/packages/decisions/test/replay/crash-replay.test.ts
+++ b/packages/decisions/test/replay/crash-replay.test.ts
@@ -6,8 +6,8 @@
 const seeds = 3
 const never = 1e9
 
-/** The mean of the replays over all seeds. */
-const replayMean = (limits: QuarantineLimits, pattern: CrashPattern): CrashCounts => {
+/** The mean of the simulations over all seeds. */
+const simulatedMean = (limits: QuarantineLimits, pattern: CrashPattern): CrashCounts => {
   const sum: CrashCounts = { lost: 0, refused: 0, crashes: 0 }
   for (let seed = 1; seed <= seeds; seed++) {
     const { lost, refused, crashes } = new CrashReplay(limits, pattern, seed).simulate()
@@ -20,7 +20,7 @@
 
 const format = ({ lost, refused, crashes }: CrashCounts): string => `lost ${lost.toFixed(1)} (refused ${refused.toFixed(1)}), engine crashes ${crashes.toFixed(1)}`
 
-describe('a replay of engine crashes', function () {
+describe('a simulation of engine crashes', function () {
   this.timeout(60_000)
 
   const patterns: Array<[string, CrashPattern]> = [
@@ -43,10 +43,10 @@
   ]
   for (const [title, pattern] of patterns) {
     it(title, () => {
-      const results = new Map(policies.map(([policy, limits]) => [limits, { policy, counts: replayMean(limits, pattern) }]))
+      const results = new Map(policies.map(([policy, limits]) => [limits, { policy, counts: simulatedMean(limits, pattern) }]))
       for (const { policy, counts } of results.values()) console.log(`      ${policy}: ${format(counts)}`)
-      const chosen = results.get(quarantineLimits)?.counts ?? expect.fail('policy was not replayed')
-      const countsOf = (limits: QuarantineLimits): CrashCounts => results.get(limits)?.counts ?? expect.fail('policy was not replayed')
+      const chosen = results.get(quarantineLimits)?.counts ?? expect.fail('policy was not simulated')
+      const countsOf = (limits: QuarantineLimits): CrashCounts => results.get(limits)?.counts ?? expect.fail('policy was not simulated')
       const unrelatedCrashes = pattern.crashIntervalMs === undefined ? 0 : countsOf(oneCrash).crashes - Number(pattern.fatalIntervalMs !== undefined)
       expect(chosen.crashes - unrelatedCrashes, 'engines crashed by one request').to.be.at.most(quarantineLimits.longThreshold)
       expect(chosen.lost, 'lost requests of other callers').to.be.at.most(countsOf(oneCrash).lost * 0.2)
--- a/packages/decisions/test/replay/crash-replay.ts
+++ b/packages/decisions/test/replay/crash-replay.ts
@@ -1,5 +1,5 @@
 /**
- * A discrete-event replay of engine crashes, caused by a request or by something else, that compares the policies by which requests
+ * A discrete-event simulation of engine crashes, caused by a request or by something else, that compares the policies by which requests
  * are quarantined.
  *
  * 230 requests arrive per second. Each runs 0.3 to 1.8 s on a random one of 13 engines, which makes about 18 per engine. A crashed
--- a/packages/fleet/src/attempt-reports.ts
+++ b/packages/fleet/src/attempt-reports.ts
@@ -12,6 +12,7 @@
 /** A batch of reports: the recent ones, or everything that a process knows. */
 export interface AttemptReports {
   crashes: readonly Crash[]
+  /** Completed runs, named as in the frame. */
   sound: readonly CompletedRun[]
   limits: readonly AdvertisedLimit[]
   probes: readonly Probe[]
@@ -48,7 +49,7 @@
   }))
 }
 
-const sliceOf = <T>(all: readonly T[], part: number, most: number): readonly T[] => all.slice(part * most, (part + 1) * most)
+const sliceOf = <T>(all: readonly T[], part: number, size: number): readonly T[] => all.slice(part * size, (part + 1) * size)
 
 /** Sends all known crashes and probes to a newly connected peer, which may have restarted and lost its own. */
 export const sendKnownCrashes = (history: CrashHistory, peer: Channel): void => {
--- a/packages/fleet/src/deferred-removals.ts
+++ b/packages/fleet/src/deferred-removals.ts
@@ -1,17 +1,17 @@
 /**
  * Deferred removals, for the time after an outage of the store or its restore from a backup.
  *
- * During an outage no server can renew its entry, so the entries of live servers expire. These servers write their entries again
+ * During an outage no server can renew its record, so the records of live servers expire. These servers write their records again
  * soon after the store recovers. Removals learned until then are deferred, and only facts that are still missing afterwards
  * count as removed. Facts missing from a restored store are treated in the same way.
  */
 import { nowMs } from './clock.js'
 import type { Fact } from './fact.js'
 
-/** A live server that reaches the store writes its entry again within this time after the store recovers; the platform guarantees this. */
+/** A live server that reaches the store writes its record again within this time after the store recovers; the platform guarantees this. */
 export const reregistrationMs = 2000
 /**
- * Shorter outages defer nothing: a watch whose connection broke is renewed in a fraction of this time, and entries expire only
+ * Shorter outages defer nothing: a watch whose connection broke is renewed in a fraction of this time, and records expire only
  * after several missed heartbeats.
  */
 const minOutageMs = 1000
--- a/packages/fleet/src/draining-servers.ts
+++ b/packages/fleet/src/draining-servers.ts
@@ -1,8 +1,8 @@
 /**
  * Draining servers, as announced by the server itself or by the store. Draining is never reverted.
  *
- * The store may be unavailable while a server drains, and still lists it as ready once it is back; the server's entry may also
- * expire and reappear. Draining applies to one incarnation of one server: it neither affects a later start under the same id nor
+ * The store may be unavailable while a server drains, and then lists the server as ready once it answers again; the server's record
+ * may also expire and reappear. Draining applies to one incarnation of one server: it neither affects a later start under the same id nor
  * another server at the same address.
  */
 import { nowMs } from './clock.js'
@@ -11,7 +11,7 @@
 /** One incarnation of a server: the time from one start to the next. */
 export type ServerIncarnation = Pick<BackendServer, 'id' | 'bornAt'>
 
-/** This long after a server was last listed, no message about it is in transit any more, not even an older copy of its entry. */
+/** This long after a server was last listed, no message about it is in transit any more, not even an older copy of its record. */
 const retentionMs = 60_000
 
 interface DrainingServer {
--- a/packages/fleet/src/fact-watch.ts
+++ b/packages/fleet/src/fact-watch.ts
@@ -46,8 +46,8 @@
 const usableDrainShare = 0.85
 
 /**
- * How long a server whose entry vanished is kept as a fallback. It may be sent requests for `drainMs` after the store removed the
- * entry, of which the watch may already have spent `pauseMs` pausing.
+ * How long a server whose record vanished is kept as a fallback. It may be sent requests for `drainMs` after the store removed the
+ * record, of which the watch may already have spent `pauseMs` pausing.
  */
 export const fallbackRetentionMs = (pauseMs: number, drainMs: number): number => Math.max(0, drainMs * usableDrainShare - pauseMs)
 
@@ -240,7 +240,7 @@
 const missingFrom = (facts: Facts, kind: Fact['kind'], listed: Fact[]): Fact[] => {
   if (kind === 'table') return []
   const present = new Set(listed.map(fact => fact.key))
-  // Relisted servers are not among the current facts. Without them, one whose entry expired while the history was gone would be accepted.
+  // Relisted servers are not among the current facts. Without them, one whose record expired while the history was gone would be accepted.
   return [...facts.all(), ...facts.relistedServers]
     .filter(fact => fact.kind === kind && fact.value !== undefined && !present.has(fact.key))
     .map(fact => ({ kind, key: fact.key, revision: fact.revision + removalRevisionStep, value: undefined }))
--- a/packages/fleet/src/facts.ts
+++ b/packages/fleet/src/facts.ts
@@ -46,11 +46,11 @@
   readonly #statusListeners = new Set<() => void>()
   readonly #complete: CompleteRevisions = { table: 0, server: 0, version: 0 }
   #routes: RouteIndex | undefined
-  #highest = 0
+  #highestRevision = 0
   #storeStatus: StoreSight = 'resting'
-  #confirmedAt = -Infinity
+  #serversConfirmedAt = -Infinity
 
-  /** `fallbackMs`: how long a server whose entry vanished without notice is kept as a fallback. */
+  /** `fallbackMs`: how long a server whose record vanished without notice is kept as a fallback. */
   constructor (private readonly log: Log, fallbackMs: () => number) {
     this.#serverList = new ServerList({
       log,
@@ -66,14 +66,14 @@
 
   /** The highest revision observed, of any fact or of the store as a whole. */
   get revision (): number {
-    return this.#highest
+    return this.#highestRevision
   }
 
   /** Records a revision of the store as a whole, taken from an answer or a peer's frame. */
   observeRevision (revision: number): void {
-    if (revision <= this.#highest) return
-    const before = this.#highest
-    this.#highest = revision
+    if (revision <= this.#highestRevision) return
+    const before = this.#highestRevision
+    this.#highestRevision = revision
     if (eraOf(revision) > eraOf(before)) this.#handleRestore(before)
   }
 
@@ -82,7 +82,7 @@
    * long ago the store was restored.
    */
   #handleRestore (before: number): void {
-    if (before > 0) this.log.warn('store.restored', { ...revisionFields(this.#highest), before: revisionFields(before) })
+    if (before > 0) this.log.warn('store.restored', { ...revisionFields(this.#highestRevision), before: revisionFields(before) })
     this.freshness.rejectProofsFor(rewriteGraceMs)
   }
 
@@ -104,20 +104,20 @@
 
   setSight (status: StoreSight): void {
     if (status === this.#storeStatus) return
-    this.log.info('store.sight_changed', { sight: status, before: this.#storeStatus, ...revisionFields(this.#highest) })
+    this.log.info('store.sight_changed', { sight: status, before: this.#storeStatus, ...revisionFields(this.#highestRevision) })
     this.#storeStatus = status
     for (const listener of this.#statusListeners) listener()
   }
 
   /** When the list of servers was last confirmed to be complete, by the store or by a peer, on the monotonic clock. */
   get serversConfirmedAt (): number {
-    return this.#confirmedAt
+    return this.#serversConfirmedAt
   }
 
   /** Records that all facts of a kind up to `revision` have been received. */
   markComplete (kind: Fact['kind'], revision: number): void {
     const before = this.hasSynced
-    if (kind === 'server') this.#confirmedAt = nowMs()
+    if (kind === 'server') this.#serversConfirmedAt = nowMs()
     // If the list were reported complete, peers would never be sent a relisted server that is held back here.
     if (kind !== 'server' || this.#relisted.size === 0) this.#complete[kind] = Math.max(this.#complete[kind], revision)
     this.observeRevision(revision)
@@ -129,7 +129,7 @@
     return kinds.every(kind => this.#complete[kind] > 0)
   }
 
-  /** Records how far a peer is that forwards everything it learns without delay: this replica is complete up to there too. */
+  /** Adopts the complete revisions of a peer that forwards everything it learns without delay, so that this replica has the same facts. */
   markAllComplete (complete: CompleteRevisions): void {
     for (const kind of kinds) this.markComplete(kind, complete[kind])
   }
@@ -147,7 +147,7 @@
     return this.#serverList.eligibleServers(service)
   }
 
-  /** Whether the server's entry vanished and the server is kept as a fallback. */
+  /** Whether the server's record vanished and the server is kept as a fallback. */
   isFallback (id: string): boolean {
     return this.#serverList.isFallback(id)
   }
@@ -158,7 +158,7 @@
     if (this.#serverList.markDraining(incarnation, from) && fact !== undefined) this.#notify(fact)
   }
 
-  /** Drops fallback servers whose entries have not come back, and accepts relisted servers whose entries have not expired. */
+  /** Drops fallback servers whose records have not come back, and accepts relisted servers whose records have not expired. */
   expire (): void {
     for (const { fact, from } of this.#relisted.due()) this.#replaceFact(fact, from)
     this.#serverList.expire()
--- a/packages/fleet/src/relisted-servers.ts
+++ b/packages/fleet/src/relisted-servers.ts
@@ -1,14 +1,14 @@
 /**
  * Servers that a restored store lists although they are known to have been removed.
  *
- * The backup may be older than the removal. A stopped server does not renew its entry, which then expires. A relisted server is
- * therefore held back until its entry is written again or has outlived the expiry time.
+ * The backup may be older than the removal. A stopped server does not renew its record, which then expires. A relisted server is
+ * therefore held back until its record is written again or has outlived the expiry time.
  */
 import { nowMs } from './clock.js'
 import type { Fact } from './fact.js'
 
 /**
- * The entry of a stopped server expires within this time after a restore: 2 s for servers to write their entries again, plus
+ * The record of a stopped server expires within this time after a restore: 2 s for servers to write their records again, plus
  * three heartbeats.
  */
 const holdMs = 5000
@@ -29,7 +29,7 @@
     return [...this.#held.values()].map(({ fact }) => fact)
   }
 
-  /** Holds a server back. Returns false once its entry was written again, that is, has a later revision than the held one. */
+  /** Holds a server back. Returns false once its record was written again, that is, has a later revision than the held one. */
   hold (fact: Fact, from: string): boolean {
     const held = this.#held.get(fact.key)
     if (held === undefined) this.#held.set(fact.key, { fact, from, until: nowMs() + holdMs })
@@ -41,7 +41,7 @@
     this.#held.delete(key)
   }
 
-  /** Held servers whose entries have outlived the expiry time. */
+  /** Held servers whose records have outlived the expiry time. */
   due (): RelistedServer[] {
     const now = nowMs()
     return [...this.#held.values()].filter(({ until }) => now >= until)
--- a/packages/fleet/src/server-list.ts
+++ b/packages/fleet/src/server-list.ts
@@ -1,7 +1,7 @@
 /**
  * The backend servers known to this process, and which of them may be sent new requests.
  *
- * A server whose entry vanished without notice is kept as a fallback for a limited time: it may still be running, and is better
+ * A server whose record vanished without notice is kept as a fallback for a limited time: it may still be running, and is better
  * than no server. A draining server gets no new requests. A server is dropped once another one has started later at its address.
  */
 import type { Log } from '@finchpitch/core'
@@ -12,17 +12,17 @@
 
 export interface ServerListOptions {
   log: Log
-  /** How long a server whose entry vanished without notice is kept as a fallback. */
+  /** How long a server whose record vanished without notice is kept as a fallback. */
   fallbackMs: () => number
-  /** The revision at which a server's entry last changed. */
+  /** The revision at which a server's record last changed. */
   revisionOf: (id: string) => number
-  /** Whether the service is known. Entries for unknown services come from other writers and replace no server. */
+  /** Whether the service is known. Records for unknown services come from other writers and replace no server. */
   serves: (service: string) => boolean
 }
 
 export class ServerList {
   readonly servers = new Map<string, BackendServer>()
-  /** Fallback servers, whose entries are gone, and until when they may still be sent requests. */
+  /** Fallback servers, whose records are gone, and until when they may still be sent requests. */
   readonly #fallbackUntil = new Map<string, number>()
   readonly #byService = new Map<string, BackendServer[]>()
   /** By service, the eligible servers; cleared whenever the servers change. */
@@ -46,12 +46,12 @@
     return eligible
   }
 
-  /** Whether the server's entry vanished and the server is kept as a fallback. */
+  /** Whether the server's record vanished and the server is kept as a fallback. */
   isFallback (id: string): boolean {
     return this.#fallbackUntil.has(id)
   }
 
-  /** Applies a server's entry, or its removal. */
+  /** Applies a server's record, or its removal. */
   set (id: string, server: BackendServer | undefined): void {
     const before = this.servers.get(id)
     this.#eligible.clear()
@@ -83,7 +83,7 @@
     return true
   }
 
-  /** Drops fallback servers whose entries have not come back in time. */
+  /** Drops fallback servers whose records have not come back in time. */
   expire (): void {
     this.#draining.expire(this.servers)
     const now = nowMs()
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Whether a later server has this one's address. Drops earlier servers at that address: they have stopped, though their entries may
+   * Whether a later server has this one's address. Drops earlier servers at that address: they have stopped, though their records may
    * remain for a while.
    */
   #isReplaced (server: BackendServer): boolean {
--- a/packages/fleet/src/side/demands.ts
+++ b/packages/fleet/src/side/demands.ts
@@ -10,7 +10,7 @@
 const demandTtlMs = 1500
 
 /** Demand shifts within seconds, so older uses predict little about the next ones. */
-const popularityHalfLifeMs = 10_000
+const demandHalfLifeMs = 10_000
 
 /** Protects an adapter from eviction after its load, until the entry that demanded it reports its use. */
 const justLoadedMs = 500
@@ -88,7 +88,7 @@
     for (const [key, started, running] of uses) {
       if (running === 0) idle = entryUses.running.delete(key) || idle
       else entryUses.running.set(key, running)
-      const popularity = this.#popularity.get(key) ?? new Popularity(popularityHalfLifeMs)
+      const popularity = this.#popularity.get(key) ?? new Popularity(demandHalfLifeMs)
       for (let each = 0; each < started; each++) popularity.add(now)
       this.#popularity.set(key, popularity)
       this.#loadedAt.delete(key)
--- a/packages/fleet/src/side/engine-update.ts
+++ b/packages/fleet/src/side/engine-update.ts
@@ -76,7 +76,7 @@
   }
 }
 
-/** Fields that are sent as they are; keys and loads are sent in fields of their own. */
+/** Fields that are sent as they are. Loaded keys and loads in progress are sent as `came`, `went` and `coming`. */
 const scalarFields = ['reachable', 'server', 'bornAt', 'leaving', 'lost', 'waiting', 'running', 'unread', 'entries', 'strangers', 'fence'] as const
 
 /** Values that mark a field as no longer set. */
@@ -104,7 +104,7 @@
   changeIntervalMs: number
   /** Minimum interval between updates when other updates are sent anyway; any difference is then enough. */
   piggybackIntervalMs: number
-  /** Maximum interval between updates. Subscribers detect an unresponsive side process by it. */
+  /** Maximum interval between updates. Subscribers regard a side process that is silent for much longer as unresponsive. */
   keepAliveMs: number
 }
 
--- a/packages/fleet/src/side/order-sender.ts
+++ b/packages/fleet/src/side/order-sender.ts
@@ -125,7 +125,7 @@
     this.#server = server
   }
 
-  /** Id of the backend server listed at the engine's address. If there are several, the one whose entry changed last. */
+  /** Id of the backend server listed at the engine's address. If there are several, the one whose record changed last. */
   #findListedId (): string | undefined {
     const { facts, engineAddress } = this.options
     const candidates = [...facts.servers.values()].filter(server => server.address === engineAddress)
--- a/packages/fleet/src/side/poll-delay.ts
+++ b/packages/fleet/src/side/poll-delay.ts
@@ -24,7 +24,7 @@
   const loading = new Set(status.coming.map(({ key }) => key))
   const hasUnordered = [...demandedKeys].some(key => !loading.has(key))
   if (hasUnordered) return dueInMs(pendingDemandMs)
-  // The order in progress changes what the engine reports next, so this is polled for soon.
+  // The engine is carrying out an order that is not listed as a load. No other is sent until it is done, so that is polled for soon.
   if (status.busy && loading.size === 0) return pendingDemandMs
   return dueInMs(idlePollMs)
 }
--- a/packages/fleet/src/side/watchers.ts
+++ b/packages/fleet/src/side/watchers.ts
@@ -10,7 +10,7 @@
 /** One watcher may be cut off from the store and another one frozen at the same time. */
 const maxWatchers = 3
 /** An entry without frames for this time counts as silent. Entries send one at least every 0.9 s. */
-const silenceMs = 1500
+const silenceTimeoutMs = 1500
 
 export interface WatcherCandidate {
   process: string
@@ -30,7 +30,7 @@
  * ones, or else the first of all.
  */
 export const selectWatchers = (candidates: readonly WatcherCandidate[]): WatcherSelection => {
-  const responsive = candidates.filter(candidate => candidate.silentMs < silenceMs)
+  const responsive = candidates.filter(candidate => candidate.silentMs < silenceTimeoutMs)
   const withStore = responsive.filter(candidate => candidate.sight !== 'blind')
   const eligible = withStore.length > 0 ? withStore : responsive.length > 0 ? responsive : candidates
   const selected = new Set(eligible.map(candidate => candidate.process).sort().slice(0, maxWatchers))
--- a/packages/fleet/test/fact-exchange.test.ts
+++ b/packages/fleet/test/fact-exchange.test.ts
@@ -19,8 +19,8 @@
     facts = new Facts(silentLog, () => 1000)
     received = []
     const [one, other] = duplexPair()
-    local = new Channel(one, channelOptions('near'))
-    remote = new Channel(other, channelOptions('far'))
+    local = new Channel(one, channelOptions('local'))
+    remote = new Channel(other, channelOptions('remote'))
     void (async () => { for await (const frame of local.frames()) void frame })()
     void (async () => { for await (const frame of remote.frames()) if (frame.type === 'fact') received.push(frame.revision) })()
   })
@@ -66,7 +66,7 @@
         return { type: 'heartbeat', revision: Revision.parse(0) }
       }
       const [one] = duplexPair()
-      const channel = new Channel(one, { ...channelOptions('near'), heartbeat })
+      const channel = new Channel(one, { ...channelOptions('local'), heartbeat })
       const link = new FactLink(facts, channel, 1500, silentLog)
       facts.markComplete('table', 4)
       facts.markComplete('server', 4)
--- a/packages/fleet/test/fact-watch.test.ts
+++ b/packages/fleet/test/fact-watch.test.ts
@@ -172,7 +172,7 @@
       source.failure = { code: 'turned_away', detail: '' }
     })
 
-    it('keeps servers whose entries expired until they can have written them again', async () => {
+    it('keeps servers whose records expired until they can have written them again', async () => {
       await time.advance(4000)
       source.failure = undefined
       source.events = [entry('1', 1 + removalRevisionStep, undefined), entry('2', 1 + removalRevisionStep, undefined)]
@@ -250,7 +250,7 @@
       expect(facts.revisionOf('version', 'm/a')).to.equal(restored(1))
     })
 
-    it('keeps a server missing from the backup if it writes its entry again in time, and drops it otherwise', async () => {
+    it('keeps a server missing from the backup if it writes its record again in time, and drops it otherwise', async () => {
       source = new ScriptedSource('server')
       source.facts = [entry('1', 8), entry('2', 9)]
       source.revision = 9
--- a/packages/fleet/test/facts.test.ts
+++ b/packages/fleet/test/facts.test.ts
@@ -101,7 +101,7 @@
         facts.offer(serverFact('s', restored(80), server('s')), 'store')
       })
 
-      it('sends it no requests and does not report itself complete to peers until the entry expires', async () => {
+      it('sends it no requests and does not report itself complete to peers until the record expires', async () => {
         facts.markComplete('server', restored(85))
         expect(open()).to.deep.equal([])
         expect(facts.complete.server).to.equal(0)
@@ -113,12 +113,12 @@
         expect(facts.complete.server).to.equal(restored(86))
       })
 
-      it('sends it requests once it has written its entry again', () => {
+      it('sends it requests once it has written its record again', () => {
         facts.offer(serverFact('s', restored(87), server('s')), 'store')
         expect(open()).to.deep.equal(['s'])
       })
 
-      it('sends it requests if the entry does not expire', async () => {
+      it('sends it requests if the record does not expire', async () => {
         await time.advance(4900)
         facts.expire()
         expect(open()).to.deep.equal([])
@@ -179,8 +179,8 @@
     })
   })
 
-  describe('when a server\'s entry vanishes', () => {
-    it('keeps the server as a fallback, and lists it again when its entry comes back', async () => {
+  describe('when a server\'s record vanishes', () => {
+    it('keeps the server as a fallback, and lists it again when its record comes back', async () => {
       facts.offer(serverFact('s', 1, server('s')), 'store')
       facts.offer(serverFact('s', 1 + removalRevisionStep, undefined), 'store')
       expect(facts.isFallback('s')).to.equal(true)
@@ -192,7 +192,7 @@
       expect(facts.serversOf('llm')).to.have.length(1)
     })
 
-    it('drops the server if its entry does not come back in time', async () => {
+    it('drops the server if its record does not come back in time', async () => {
       facts.offer(serverFact('s', 1, server('s')), 'store')
       facts.offer(serverFact('s', 1 + removalRevisionStep, undefined), 'store')
       await time.advance(1600)
@@ -213,7 +213,7 @@
   describe('when two servers have the same address', () => {
     const ids = (): string[] => facts.serversOf('llm').map(each => each.id)
 
-    it('drops the earlier one, although its entry still exists', () => {
+    it('drops the earlier one, although its record still exists', () => {
       facts.offer(serverFact('old', 1, server('old', false, '10.0.0.1:80')), 'store')
       facts.offer(serverFact('new', 2, server('new', false, '10.0.0.1:80')), 'store')
       expect(ids()).to.deep.equal(['new'])
@@ -246,7 +246,7 @@
       expect(notified).to.deep.equal(['other'])
     })
 
-    it('ignores all entries of that incarnation: older, newer or reappearing after they vanished', async () => {
+    it('ignores all records of that incarnation: older, newer or reappearing after they vanished', async () => {
       facts.offer(serverFact('s', 4, born(10)), 'peer')
       facts.offer(serverFact('s', 6, born(10)), 'store')
       expect(open()).to.deep.equal(['other'])
--- a/packages/fleet/test/freshness.test.ts
+++ b/packages/fleet/test/freshness.test.ts
@@ -55,12 +55,12 @@
 
   /** A store call; the answer has the store's state at some time during the call. */
   read (reader: ModelProcess, there: number, back: number): void {
-    const began = reader.now
+    const startedAt = reader.now
     this.after(there, () => {
       const revision = this.revisionAt(this.time)
       this.after(back, () => {
         reader.revision = Math.max(reader.revision, revision)
-        reader.freshness.prove(began)
+        reader.freshness.prove(startedAt)
       })
     })
   }
@@ -85,12 +85,12 @@
 interface Delays { there: number, held: number, back: number, withTable: boolean }
 
 const delay = fc.oneof(fc.integer({ min: 0, max: 20 }), fc.integer({ min: 0, max: 7000 }))
-const place = fc.integer({ min: 0, max: 4 })
+const processIndex = fc.integer({ min: 0, max: 4 })
 const step = fc.oneof(
   fc.record({ type: fc.constant('pass' as const), ms: delay }),
   fc.record({ type: fc.constant('change' as const) }),
-  fc.record({ type: fc.constant('read' as const), reader: place, there: delay, back: delay }),
-  fc.record({ type: fc.constant('ask' as const), asker: place, asked: place, there: delay, held: delay, back: delay, withTable: fc.boolean() })
+  fc.record({ type: fc.constant('read' as const), reader: processIndex, there: delay, back: delay }),
+  fc.record({ type: fc.constant('ask' as const), asker: processIndex, asked: processIndex, there: delay, held: delay, back: delay, withTable: fc.boolean() })
 )
 
 describe('Freshness', () => {
--- a/packages/fleet/test/silent-store.test.ts
+++ b/packages/fleet/test/silent-store.test.ts
@@ -100,7 +100,7 @@
     }
   }
 
-  inForce (kind: 'table' | 'version'): number | undefined {
+  currentVersion (kind: 'table' | 'version'): number | undefined {
     return kind === 'table' ? this.facts.routes?.table.version : this.facts.version('m/a')?.version
   }
 
@@ -126,7 +126,7 @@
       watcher.store.change('table', 2)
       watcher.store.change('version', 2)
       await time.advance(applyMs)
-      if (watcher.inForce('table') !== 2 || watcher.inForce('version') !== 2) missed.push(silentMs)
+      if (watcher.currentVersion('table') !== 2 || watcher.currentVersion('version') !== 2) missed.push(silentMs)
       watcher.stop()
     }
     expect(missed).to.deep.equal([])
@@ -144,7 +144,7 @@
         await time.advance(recoveryMs - applyMs)
         watcher.store.change(kind, 2)
         await time.advance(applyMs)
-        if (watcher.inForce(kind) !== 2) missed.push(liveMs)
+        if (watcher.currentVersion(kind) !== 2) missed.push(liveMs)
         watcher.stop()
       }
       expect(missed).to.deep.equal([])
--- a/packages/fleet/test/subscriber.test.ts
+++ b/packages/fleet/test/subscriber.test.ts
@@ -3,7 +3,7 @@
 import { FrameDecoder, type Frame } from '@finchpitch/wire'
 import { expect } from 'chai'
 
-const ownHost = '10.0.0.1'
+const engineHost = '10.0.0.1'
 const remoteHost = '10.0.0.9'
 
 describe('updates that a side process sends to a peer', () => {
@@ -13,17 +13,17 @@
   let relayed: Map<string, EngineUpdate>
 
   const update = (more: Partial<EngineSnapshot> = {}): EngineUpdate => new EngineUpdate({
-    host: ownHost, changes: 0, held: new Map(), coming: [], warm: () => [], reachable: true, server: 's', waiting: 0, running: 0, unread: 0, entries: 1, strangers: 0, fence: 1, ...more
+    host: engineHost, changes: 0, held: new Map(), coming: [], warm: () => [], reachable: true, server: 's', waiting: 0, running: 0, unread: 0, entries: 1, strangers: 0, fence: 1, ...more
   })
 
   const subscriberOf = (isLocal: boolean): Subscriber => {
-    const frameReader = new FrameDecoder()
+    const decoder = new FrameDecoder()
     const channel = {
       send: (frame: Frame) => { sent.push(frame) },
-      sendEncoded: (frames: Buffer[]) => { for (const frame of frames) sent.push(...frameReader.read(frame)._unsafeUnwrap()) },
+      sendEncoded: (frames: Buffer[]) => { for (const frame of frames) sent.push(...decoder.read(frame)._unsafeUnwrap()) },
       beat: () => { heartbeats += 1 }
     }
-    return new Subscriber({ channel: channel as never, isLocal, engineHost: ownHost })
+    return new Subscriber({ channel: channel as never, isLocal, engineHost })
   }
 
   beforeEach(() => {
@@ -40,13 +40,13 @@
 
     beforeEach(() => {
       subscriber = subscriberOf(false)
-      subscriber.setSubscriptions([ownHost])
+      subscriber.setSubscriptions([engineHost])
       subscriber.publish(update(), relayed)
     })
 
     it('start with the full state', () => {
       expect(sent).to.have.length(1)
-      expect(sent[0]).to.include({ type: 'holding', host: ownHost, whole: true })
+      expect(sent[0]).to.include({ type: 'holding', host: engineHost, whole: true })
     })
 
     it('are not sent while nothing changes, except as a keep-alive', async () => {
@@ -77,16 +77,16 @@
     it('contain only the fields that differ', async () => {
       await time.advance(300)
       subscriber.publish(update({ running: 4 }), relayed)
-      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, running: 4 })
+      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: engineHost, running: 4 })
       await time.advance(300)
       subscriber.publish(update({ running: 4, server: undefined, changes: 1, held: new Map([['m/a', 2]]) }), relayed)
-      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, server: null, came: { 'm/a': 2 } })
+      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: engineHost, server: null, came: { 'm/a': 2 } })
       await time.advance(300)
       subscriber.publish(update({ running: 4, lost: true, changes: 1, held: new Map([['m/a', 2]]) }), relayed)
-      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, server: 's', lost: true })
+      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: engineHost, server: 's', lost: true })
       await time.advance(300)
       subscriber.publish(update({ running: 4, changes: 1, held: new Map([['m/a', 2]]) }), relayed)
-      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, lost: false })
+      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: engineHost, lost: false })
     })
 
     it('contain the load when it changed by a few requests, and smaller changes with the keep-alive', async () => {
@@ -94,13 +94,13 @@
       subscriber.publish(update({ running: 2 }), relayed)
       expect(sent).to.have.length(1)
       subscriber.publish(update({ running: 2, waiting: 1 }), relayed)
-      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, running: 2, waiting: 1 })
+      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: engineHost, running: 2, waiting: 1 })
       await time.advance(300)
       subscriber.publish(update({ running: 1, waiting: 1 }), relayed)
       expect(sent).to.have.length(2)
       await time.advance(1300)
       subscriber.publish(update({ running: 1, waiting: 1 }), relayed)
-      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: ownHost, running: 1 })
+      expect(sent.at(-1)).to.deep.equal({ type: 'holding', host: engineHost, running: 1 })
     })
 
     it('contain the number of entries as soon as it changes', async () => {
@@ -189,21 +189,21 @@
     it('are sent together with others that are due, unless one was sent a moment ago', async () => {
       const subscriber = subscriberOf(true)
       const hostsSince = (count: number): Array<string | undefined> => sent.slice(count).map(frame => (frame as { host?: string }).host)
-      subscriber.setSubscriptions([ownHost, remoteHost])
+      subscriber.setSubscriptions([engineHost, remoteHost])
       relayed.set(remoteHost, update({ host: remoteHost, running: 3 }))
       subscriber.publish(update(), relayed)
       relayed.set(remoteHost, update({ host: remoteHost, running: 4 }))
       await time.advance(10)
       subscriber.publish(update({ changes: 1, held: new Map([['m/a', 1]]) }), relayed)
-      expect(hostsSince(2)).to.deep.equal([ownHost])
+      expect(hostsSince(2)).to.deep.equal([engineHost])
       await time.advance(200)
       subscriber.publish(update({ changes: 2, held: new Map([['m/b', 1]]) }), relayed)
-      expect(hostsSince(3)).to.deep.equal([ownHost, remoteHost])
+      expect(hostsSince(3)).to.deep.equal([engineHost, remoteHost])
     })
 
     it('are sent for load changes of a tenth of the batch, if that exceeds the fixed minimum', async () => {
       const subscriber = subscriberOf(true)
-      subscriber.setSubscriptions([ownHost])
+      subscriber.setSubscriptions([engineHost])
       subscriber.publish(update({ batchSize: 48 }), relayed)
       await time.advance(250)
       subscriber.publish(update({ batchSize: 48, running: 4 }), relayed)
--- a/packages/wire/src/channel.ts
+++ b/packages/wire/src/channel.ts
@@ -167,11 +167,11 @@
 
   async #runHeartbeats (): Promise<void> {
     while (this.open) {
-      const { heartbeatMs: intervalMs = defaultHeartbeatMs, silenceTimeoutMs: timeoutMs = defaultSilenceTimeoutMs, alwaysHeartbeat: always } = this.#pace
-      await pause(delayToNextTick(intervalMs), this.#wake.signal)
+      const { heartbeatMs = defaultHeartbeatMs, silenceTimeoutMs = defaultSilenceTimeoutMs, alwaysHeartbeat } = this.#pace
+      await pause(delayToNextTick(heartbeatMs), this.#wake.signal)
       const now = performance.now()
-      if (now - this.#lastReceived > timeoutMs) this.close({ reason: 'silent' })
-      if (always === true || now - this.#lastSent >= intervalMs) this.beat()
+      if (now - this.#lastReceived > silenceTimeoutMs) this.close({ reason: 'silent' })
+      if (alwaysHeartbeat === true || now - this.#lastSent >= heartbeatMs) this.beat()
     }
   }
 }
--- a/packages/wire/test/codec.test.ts
+++ b/packages/wire/test/codec.test.ts
@@ -43,8 +43,8 @@
   it('reports the offset and the field of a frame that does not match the schema', () => {
     const good = encodeFrame({ type: 'cancel', id: 1 })
     const bad = encodeFrame({ type: 'cancel', id: -1 } as Frame)
-    const fault = new FrameDecoder().read(Buffer.concat([good, bad]))._unsafeUnwrapErr()
-    expect(fault.code).to.equal('frame_not_valid')
-    expect(fault.path).to.match(new RegExp(`^byte ${good.length}, id`))
+    const error = new FrameDecoder().read(Buffer.concat([good, bad]))._unsafeUnwrapErr()
+    expect(error.code).to.equal('frame_not_valid')
+    expect(error.path).to.match(new RegExp(`^byte ${good.length}, id`))
   })
 })
