--- a/packages/backend/src/engine.ts
+++ b/packages/backend/src/engine.ts
@@ -54,5 +54,5 @@
   cancel: (order: { id: string, fence: number }) => Promise<Result<void, BackendError>>
   /** Yields events until the connection ends or `signal` aborts. */
   cacheEvents: (signal: AbortSignal) => AsyncIterable<CacheEvent>
-  generate: (generation: GenerationRequest) => Promise<Result<EngineResponse, BackendError>>
+  generate: (request: GenerationRequest) => Promise<Result<EngineResponse, BackendError>>
 }
--- a/packages/backend/src/http-engine.ts
+++ b/packages/backend/src/http-engine.ts
@@ -95,13 +95,13 @@
     }
   }
 
-  async generate (generation: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
+  async generate (request: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
     try {
-      const reply = await this.#post(generation)
+      const reply = await this.#post(request)
       const boot = bootOf(reply)
       const refusal = refusalCodes[reply.statusCode]
       if (refusal !== undefined) return err(backendError(refusal, await reply.body.text(), boot))
-      const body = isEventStream(reply) ? this.#resumableEvents(generation, reply, boot) : reportTruncation(reply.body)
+      const body = isEventStream(reply) ? this.#resumableEvents(request, reply, boot) : reportTruncation(reply.body)
       return ok({ status: reply.statusCode, headers: endToEndHeaders(reply.headers), boot, body })
     } catch (error) {
       return err(toBackendError(error))
@@ -112,19 +112,19 @@
     await this.#pool.destroy()
   }
 
-  #post (generation: GenerationRequest, lastEventId?: string): Promise<Dispatcher.ResponseData> {
-    const { call, id, fence, signal } = generation
+  #post (request: GenerationRequest, lastEventId?: string): Promise<Dispatcher.ResponseData> {
+    const { call, id, fence, signal } = request
     const headers = {
       'content-type': 'application/json',
       'x-request-id': id,
       'x-fence': String(fence),
       ...(lastEventId === undefined ? {} : { 'last-event-id': lastEventId })
     }
-    return this.#pool.request({ method: 'POST', path: call.path, headers, body: requestBody(generation), signal })
+    return this.#pool.request({ method: 'POST', path: call.path, headers, body: requestBody(request), signal })
   }
 
   /** Yields complete events. When a connection is lost, resumes the stream on another one, up to `maxResumes` times. */
-  async * #resumableEvents (generation: GenerationRequest, first: Dispatcher.ResponseData, boot: string): AsyncGenerator<Uint8Array> {
+  async * #resumableEvents (request: GenerationRequest, first: Dispatcher.ResponseData, boot: string): AsyncGenerator<Uint8Array> {
     let lastEventId: string | undefined
     let cause = 'the stream ended early'
     for (let attempts = 0, reply: Dispatcher.ResponseData | undefined = first; reply !== undefined; attempts++) {
@@ -137,15 +137,15 @@
       } catch (error) {
         cause = (error as Error).message
       }
-      reply = generation.signal.aborted || attempts >= maxResumes ? undefined : await this.#resume(generation, lastEventId, boot)
+      reply = request.signal.aborted || attempts >= maxResumes ? undefined : await this.#resume(request, lastEventId, boot)
     }
     throw new ResponseError(outcomeUnknown('answer_cut', { detail: cause }))
   }
 
-  async #resume (generation: GenerationRequest, lastEventId: string | undefined, boot: string): Promise<Dispatcher.ResponseData | undefined> {
+  async #resume (request: GenerationRequest, lastEventId: string | undefined, boot: string): Promise<Dispatcher.ResponseData | undefined> {
     if (lastEventId === undefined) return undefined
     try {
-      const reply = await this.#post(generation, lastEventId)
+      const reply = await this.#post(request, lastEventId)
       if (reply.statusCode === 200 && isEventStream(reply) && bootOf(reply) === boot) return reply
       await reply.body.dump()
       return undefined
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -40,7 +40,7 @@
   const before = heapBytes()
   const catalog = new Catalog('all')
   const texts = new Map([...shards.texts].map(([hash, text]) => [hash, Buffer.from(text).toString()]))
-  const moveMs = measureMs(() => { catalog.update(buildHead(shards, 1), texts) })
+  const updateMs = measureMs(() => { catalog.update(buildHead(shards, 1), texts) })
   texts.clear()
   const catalogBytes = heapBytes() - before
   const lookupMs = measureMs(() => {
@@ -54,7 +54,7 @@
     shards: shards.adapters.length,
     'catalog bytes': catalogBytes,
     'bytes/change': head + shard,
-    'first move ms': roundSignificant(moveMs),
+    'first move ms': roundSignificant(updateMs),
     'look-up µs': roundSignificant(lookupMs * 1000 / lookupCount)
   }
 }
--- a/packages/bench/src/claims.ts
+++ b/packages/bench/src/claims.ts
@@ -49,7 +49,7 @@
   const variant = variants(store)[variantIndex]
   if (variant === undefined) throw new Error(`no variant with index ${variantIndex}`)
   let failed = 0
-  const sample = await measureRepeated(requests, concurrency, async index => {
+  const latencies = await measureRepeated(requests, concurrency, async index => {
     const claims = variant.claimsFor(index)
     if (claims === undefined) return
     const bound = await claims.bind(claimId(team, RequestKey.parse(`key-${index}`)), binding())
@@ -61,8 +61,8 @@
     'at once': concurrency,
     'reads/request': roundSignificant(reads / requests),
     'writes/request': roundSignificant(writes / requests),
-    'p50 ms': roundSignificant(sample.percentile(50)),
-    'p99 ms': roundSignificant(sample.percentile(99)),
+    'p50 ms': roundSignificant(latencies.percentile(50)),
+    'p99 ms': roundSignificant(latencies.percentile(99)),
     failed
   }
 }
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -11,9 +11,9 @@
 const losses = async (): Promise<void> => {
   const [, , , file] = process.argv
   if (file === undefined) throw new Error('losses needs the path of a log')
-  const { byRoute, byInterval: byMoment } = await readLosses(file)
+  const { byRoute, byInterval } = await readLosses(file)
   if (byRoute.length === 0) throw new Error(`no line "request.ended" in ${file}`)
-  process.stdout.write(`${formatTable(byRoute)}\n\n${formatTable(byMoment)}\n`)
+  process.stdout.write(`${formatTable(byRoute)}\n\n${formatTable(byInterval)}\n`)
 }
 
 const measurements: Record<string, () => Promise<void>> = { capacity: measureCapacity, claims: measureClaims, losses, path: measurePath }
--- a/packages/bench/src/path.ts
+++ b/packages/bench/src/path.ts
@@ -76,11 +76,11 @@
   const rows: Row[] = []
   for (const [stream, concurrency] of [[false, 1], [false, 16], [true, 1], [true, 16]] as const) {
     for (const target of [direct, through]) await measureRepeated(warmUps, concurrency, sendAndReadAll(target, stream))
-    const directSample = await measureRepeated(requests, concurrency, sendAndReadAll(direct, stream))
+    const directLatencies = await measureRepeated(requests, concurrency, sendAndReadAll(direct, stream))
     const before = await Promise.all(pids.map(readProcessUsage))
-    const throughSample = await measureRepeated(requests, concurrency, sendAndReadAll(through, stream))
+    const throughLatencies = await measureRepeated(requests, concurrency, sendAndReadAll(through, stream))
     const after = await Promise.all(pids.map(readProcessUsage))
-    rows.push(row(`${stream ? 'stream' : 'whole'}, ${concurrency} at once`, directSample, throughSample, pids.map((_, index) => cpuSecondsBetween([before[index] as ProcessUsage], [after[index] as ProcessUsage]))))
+    rows.push(row(`${stream ? 'stream' : 'whole'}, ${concurrency} at once`, directLatencies, throughLatencies, pids.map((_, index) => cpuSecondsBetween([before[index] as ProcessUsage], [after[index] as ProcessUsage]))))
   }
   cluster.engine.engine.tokenMs = slowTokenMs
   const [entryBytes, sideBytes] = await streamBytes(through, pids)
--- a/packages/bench/src/sample.ts
+++ b/packages/bench/src/sample.ts
@@ -25,18 +25,18 @@
 
 /** Runs `task` `count` times with `concurrency` runs at a time, and records the duration of each. */
 export const measureRepeated = async (count: number, concurrency: number, task: (index: number) => Promise<void>): Promise<LatencyHistogram> => {
-  const sample = new LatencyHistogram()
+  const histogram = new LatencyHistogram()
   let next = 0
   const worker = async (): Promise<void> => {
     while (next < count) {
       const index = next++
       const startedAt = performance.now()
       await task(index)
-      sample.record(performance.now() - startedAt)
+      histogram.record(performance.now() - startedAt)
     }
   }
   await Promise.all(Array.from({ length: concurrency }, worker))
-  return sample
+  return histogram
 }
 
 export interface ProcessUsage {
--- a/packages/bench/test/losses.test.ts
+++ b/packages/bench/test/losses.test.ts
@@ -33,11 +33,11 @@
     })
 
     it('is counted by route and by interval', () => {
-      const { byRoute, byInterval: byMoment } = summarizeLosses([line({ outcome: 'refused', reason: 'full' }), line({}), line({}), line({ route: 's', at: '2026-05-20T10:00:07.000Z' })])
+      const { byRoute, byInterval } = summarizeLosses([line({ outcome: 'refused', reason: 'full' }), line({}), line({}), line({ route: 's', at: '2026-05-20T10:00:07.000Z' })])
       expect(byRoute).to.deep.equal([
         { route: 'r', cause: 'in time', requests: 2 }, { route: 'r', cause: 'refused: full', requests: 1 }, { route: 's', cause: 'in time', requests: 1 }
       ])
-      expect(byMoment).to.deep.equal([
+      expect(byInterval).to.deep.equal([
         { moment: '2026-05-20T10:00:00.000Z', 'in time': 2, late: 0, 'not served': 1 }, { moment: '2026-05-20T10:00:05.000Z', 'in time': 1, late: 0, 'not served': 0 }
       ])
     })
--- a/packages/cli/src/configuration-diff.ts
+++ b/packages/cli/src/configuration-diff.ts
@@ -37,14 +37,14 @@
 }
 
 /** The configuration in force with each declared element added, or replacing the one of its name. Nothing is removed. */
-export const mergeDeclared = (inForce: Configuration, declared: Configuration): Configuration => ({
-  teams: overlay(inForce.teams, declared.teams),
-  models: overlay(inForce.models, declared.models),
-  services: overlay(inForce.services, declared.services),
-  adapters: overlay(inForce.adapters, declared.adapters)
+export const mergeDeclared = (current: Configuration, declared: Configuration): Configuration => ({
+  teams: overlay(current.teams, declared.teams),
+  models: overlay(current.models, declared.models),
+  services: overlay(current.services, declared.services),
+  adapters: overlay(current.adapters, declared.adapters)
 })
 
 const changeSymbols = { added: '+', changed: '~', removed: '-' } as const
 
-export const formatChanges = (differences: ConfigurationChange[]): string =>
-  differences.map(({ kind, name, change }) => `${changeSymbols[change]} ${kind} ${name}`).join('\n')
+export const formatChanges = (changes: ConfigurationChange[]): string =>
+  changes.map(({ kind, name, change }) => `${changeSymbols[change]} ${kind} ${name}`).join('\n')
--- a/packages/cli/test/declarations.test.ts
+++ b/packages/cli/test/declarations.test.ts
@@ -47,7 +47,7 @@
   })
 })
 
-describe('difference', () => {
+describe('configuration diff', () => {
   const configurationOf = (...teams: Array<[string, number]>): ReturnType<typeof mergeDeclared> =>
     validateConfiguration({ teams: teams.map(([name, weight]) => ({ name, weight, tokens: [] })) })._unsafeUnwrap()
 
@@ -57,7 +57,7 @@
   })
 
   it('removes nothing without pruning', () => {
-    const inForce = configurationOf(['a', 1], ['b', 1])
-    expect(formatChanges(diffConfigurations(inForce, mergeDeclared(inForce, configurationOf(['b', 2]))))).to.equal('~ teams b')
+    const current = configurationOf(['a', 1], ['b', 1])
+    expect(formatChanges(diffConfigurations(current, mergeDeclared(current, configurationOf(['b', 2]))))).to.equal('~ teams b')
   })
 })
--- a/packages/daemon/src/entry/dispatcher.ts
+++ b/packages/daemon/src/entry/dispatcher.ts
@@ -54,9 +54,9 @@
     for (let attempts = 0; attempts < maxAttempts; attempts++) {
       const side = await this.#selectSide(work, tried)
       if (side === undefined) return err(failure)
-      const answer = await side.peer.run({ ...work, revision: this.options.catalog.revision }, signal)
-      if (answer.isOk()) return answer
-      failure = answer.error
+      const response = await side.peer.run({ ...work, revision: this.options.catalog.revision }, signal)
+      if (response.isOk()) return response
+      failure = response.error
       if (!await this.#prepareRetry(failure, repeatable, tried, side, signal)) return err(failure)
     }
     return err(failure)
@@ -93,9 +93,9 @@
     if (ticket === undefined) return err(notRun('invalid_header', { detail: 'The Idempotency-Key is not a ticket of this system.' }))
     const address = this.options.sides.addressOf(ticket.process)
     if (address === undefined) return err(outcomeUnknown('incarnation_gone'))
-    const answer = await this.#runBound(work, once, bindingOf(ticket, address), signal)
-    if (answer.isErr() && answer.error.code === 'stale_revision') await this.options.catchUp()
-    return answer
+    const response = await this.#runBound(work, once, bindingOf(ticket, address), signal)
+    if (response.isErr() && response.error.code === 'stale_revision') await this.options.catchUp()
+    return response
   }
 
   async #runClaimed (work: Work, once: Idempotency, signal: AbortSignal): Promise<DispatchResult> {
@@ -105,11 +105,11 @@
     if (first.isErr()) return err(await this.#claimFailure(work, once, first.error))
     let binding = first.value
     for (let attempts = 1; ; attempts++) {
-      const answer = await this.#runBound(work, once, binding, signal)
-      if (answer.isOk() || answer.error.outcome === 'unknown') return answer
-      const next = attempts < maxAttempts ? await this.#rebind(work, id, binding, answer.error, tried, signal) : undefined
-      // Only the binding that was asked and has refused may be confirmed as not run.
-      if (next === undefined) return err(await this.#confirmRefusal(id, binding, answer.error))
+      const response = await this.#runBound(work, once, binding, signal)
+      if (response.isOk() || response.error.outcome === 'unknown') return response
+      const next = attempts < maxAttempts ? await this.#rebind(work, id, binding, response.error, tried, signal) : undefined
+      // A refusal proves `not_run` only for the binding whose side process sent it, so that binding is the one to confirm.
+      if (next === undefined) return err(await this.#confirmRefusal(id, binding, response.error))
       binding = next
     }
   }
@@ -160,25 +160,25 @@
       if (peer === undefined) continue
       if (peer.incarnation !== binding.incarnation) return err(outcomeUnknown('incarnation_gone'))
       const bound = { ...work, revision: this.options.catalog.revision, once: { key: once.key, binding } }
-      const answer = await peer.run(bound, signal)
-      if (answer.isOk()) return answer
+      const response = await peer.run(bound, signal)
+      if (response.isOk()) return response
       // Not a refusal: an earlier attempt, or one of another entry, may have arrived.
-      if (answer.error.code === 'not_sent') continue
-      if (answer.error.code !== 'connection_lost') return answer
-      failure = answer.error
+      if (response.error.code === 'not_sent') continue
+      if (response.error.code !== 'connection_lost') return response
+      failure = response.error
     }
     return err(failure)
   }
 
   /** The failure of a request whose key could not be bound, because of the store or for lack of a side process. */
-  async #claimFailure (work: Work, once: Idempotency, fault: StoreError | Failure): Promise<Failure> {
-    if (!('outcome' in fault)) return await this.#storeFailure(work, once, fault)
-    return once.firstTry ? fault : outcomeUnknown(fault.code, { retryAfterMs: defaultRetryAfterMs })
+  async #claimFailure (work: Work, once: Idempotency, error: StoreError | Failure): Promise<Failure> {
+    if (!('outcome' in error)) return await this.#storeFailure(work, once, error)
+    return once.firstTry ? error : outcomeUnknown(error.code, { retryAfterMs: defaultRetryAfterMs })
   }
 
   /** While the store is down, only a first attempt is known not to have run; for a retry, an earlier attempt may have. */
-  async #storeFailure (work: Work, once: Idempotency, fault: StoreError): Promise<Failure> {
-    this.options.log.warn('claim.failed', { request: work.id, fault: fault.code, detail: fault.detail })
+  async #storeFailure (work: Work, once: Idempotency, error: StoreError): Promise<Failure> {
+    this.options.log.warn('claim.failed', { request: work.id, fault: error.code, detail: error.detail })
     const more = { retryAfterMs: defaultRetryAfterMs }
     if (!once.firstTry) return outcomeUnknown('store_unavailable', { ...more, detail: 'This try was not run; an earlier one may have been. Ask again with the same key.' })
     const ticket = this.#serviceOf(work)?.onStoreOutage === 'ticket' ? await this.ticket(work) : undefined
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -68,12 +68,12 @@
   async run (): Promise<void> {
     const { instances, log, random, process, domain, catalog, dial } = this.options
     const { signal } = this.#shutdown
-    const update = (list: Instance[]): void => {
+    const onUpdate = (list: Instance[]): void => {
       this.#instances = list
       this.sides.updateInstances(list)
     }
     await Promise.all([
-      pollInstances({ list: instances, log, random, onUpdate: update, signal }),
+      pollInstances({ list: instances, log, random, onUpdate, signal }),
       this.#watchStore(),
       keepUplink({ process, domain, instances: async () => this.#instances, catalog, channel: this.#channelOptions, dial, log, random, signal })
     ])
@@ -88,27 +88,27 @@
   }
 
   /** Serves one request, which is in progress until the response body has been read or abandoned. */
-  async serve (ask: CallerRequest, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
-    const resolved = resolveRequest(ask, this.options.catalog)
-    if (resolved.isErr()) return err(this.#failureBeforeLookup(ask, resolved.error))
+  async serve (request: CallerRequest, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
+    const resolved = resolveRequest(request, this.options.catalog)
+    if (resolved.isErr()) return err(this.#failureBeforeLookup(request, resolved.error))
     const release = this.#teamLimits.admit(resolved.value.team)
-    if (release.isErr()) return err(this.#failureBeforeLookup(ask, release.error))
-    const deadline = deadlineIn(ask.patienceMs, signal)
+    if (release.isErr()) return err(this.#failureBeforeLookup(request, release.error))
+    const deadline = deadlineIn(request.patienceMs, signal)
     this.#running += 1
     const done = (): void => {
       deadline.clear()
       release.value()
       this.#running -= 1
     }
-    const answer = await this.#run(ask, { ...resolved.value.work, patienceMs: sideTimeoutMs(ask.patienceMs) }, deadline.signal)
-    if (answer.isOk()) return ok({ ...answer.value, body: withCompletion(answer.value.body, done) })
+    const response = await this.#run(request, { ...resolved.value.work, patienceMs: sideTimeoutMs(request.patienceMs) }, deadline.signal)
+    if (response.isOk()) return ok({ ...response.value, body: withCompletion(response.value.body, done) })
     done()
-    return err(answer.error.code === 'cancelled' && !signal.aborted ? { ...answer.error, code: 'deadline' } : answer.error)
+    return err(response.error.code === 'cancelled' && !signal.aborted ? { ...response.error, code: 'deadline' } : response.error)
   }
 
-  /** Issues a ticket, an idempotency key that doesn't depend on the store, for the target that `ask` names. */
-  async ticket (ask: CallerRequest): Promise<Result<string, Failure>> {
-    const resolved = resolveRequest(ask, this.options.catalog)
+  /** Issues a ticket, an idempotency key that doesn't depend on the store, for the target that `request` names. */
+  async ticket (request: CallerRequest): Promise<Result<string, Failure>> {
+    const resolved = resolveRequest(request, this.options.catalog)
     if (resolved.isErr()) return err(resolved.error)
     const ticket = await this.#dispatcher.ticket(resolved.value.work)
     return ticket === undefined ? err(notRun('no_backend', { retryAfterMs: dutyCheckMs })) : ok(ticket)
@@ -116,8 +116,8 @@
 
   /** Brings the catalog up to date, from the store or, if that fails, from the connected side processes. */
   async catchUp (): Promise<void> {
-    const moved = await catchUp(this.options.catalog, new StoreSource(this.options.store))
-    if (moved.isErr()) await Promise.all(this.sides.openConnections.map(peer => peer.pull()))
+    const updated = await catchUp(this.options.catalog, new StoreSource(this.options.store))
+    if (updated.isErr()) await Promise.all(this.sides.openConnections.map(peer => peer.pull()))
   }
 
   close (): void {
@@ -140,15 +140,15 @@
     this.sides.broadcast(frame)
   }
 
-  #run (ask: CallerRequest, work: Work, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
-    return ask.once === undefined
-      ? this.#dispatcher.run(work, ask.repeatable, signal)
-      : this.#dispatcher.runOnce(work, ask.once, signal)
+  #run (request: CallerRequest, work: Work, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
+    return request.once === undefined
+      ? this.#dispatcher.run(work, request.repeatable, signal)
+      : this.#dispatcher.runOnce(work, request.once, signal)
   }
 
   /** Adapts a failure that precedes the lookup of the idempotency key: only a first attempt is then known not to have run. */
-  #failureBeforeLookup (ask: CallerRequest, failure: Failure): Failure {
-    return ask.once === undefined || ask.once.firstTry ? failure : notRunThisAttempt(failure)
+  #failureBeforeLookup (request: CallerRequest, failure: Failure): Failure {
+    return request.once === undefined || request.once.firstTry ? failure : notRunThisAttempt(failure)
   }
 
   /** Watches the store while this entry is one of the watchers of its failure domain, or knows of none. */
--- a/packages/daemon/src/entry/resolve.ts
+++ b/packages/daemon/src/entry/resolve.ts
@@ -14,32 +14,32 @@
   work: Work
 }
 
-type TargetResolver<A extends RequestTarget> = (asked: A, team: Team, catalog: Catalog) => Result<Target, Failure>
+type TargetResolver<A extends RequestTarget> = (requested: A, team: Team, catalog: Catalog) => Result<Target, Failure>
 
-const resolveAdapter: TargetResolver<Extract<RequestTarget, { kind: 'adapter' }>> = (asked, team, catalog) => {
-  const adapter = asked.team === team.name ? catalog.adapter(asked.team, asked.adapter) : undefined
-  if (adapter === undefined) return err(notRun('unknown_adapter', { detail: `${asked.team}/${asked.adapter}` }))
-  const version = resolveVersion(adapter, asked.version)
+const resolveAdapter: TargetResolver<Extract<RequestTarget, { kind: 'adapter' }>> = (requested, team, catalog) => {
+  const adapter = requested.team === team.name ? catalog.adapter(requested.team, requested.adapter) : undefined
+  if (adapter === undefined) return err(notRun('unknown_adapter', { detail: `${requested.team}/${requested.adapter}` }))
+  const version = resolveVersion(adapter, requested.version)
   const found = adapter.versions.find(each => each.version === version)
-  if (found === undefined) return err(notRun('unknown_version', { detail: `${asked.team}/${asked.adapter}@${asked.version ?? ''}` }))
+  if (found === undefined) return err(notRun('unknown_version', { detail: `${requested.team}/${requested.adapter}@${requested.version ?? ''}` }))
   return ok({ kind: 'adapter', team: adapter.team, adapter: adapter.name, version: found.version, model: adapter.model, source: found.source })
 }
 
-const resolveService: TargetResolver<Extract<RequestTarget, { kind: 'service' }>> = (asked, team, catalog) => {
-  const service = catalog.service(asked.service)
-  if (service === undefined || !service.teams.includes(team.name)) return err(notRun('unknown_service', { detail: asked.service }))
+const resolveService: TargetResolver<Extract<RequestTarget, { kind: 'service' }>> = (requested, team, catalog) => {
+  const service = catalog.service(requested.service)
+  if (service === undefined || !service.teams.includes(team.name)) return err(notRun('unknown_service', { detail: requested.service }))
   return ok({ kind: 'service', service: service.name })
 }
 
-const targetOf = (asked: RequestTarget, team: Team, catalog: Catalog): Result<Target, Failure> =>
-  asked.kind === 'adapter' ? resolveAdapter(asked, team, catalog) : resolveService(asked, team, catalog)
+const targetOf = (requested: RequestTarget, team: Team, catalog: Catalog): Result<Target, Failure> =>
+  requested.kind === 'adapter' ? resolveAdapter(requested, team, catalog) : resolveService(requested, team, catalog)
 
-export const resolveRequest = (ask: CallerRequest, catalog: Catalog): Result<ResolvedRequest, Failure> => {
+export const resolveRequest = (request: CallerRequest, catalog: Catalog): Result<ResolvedRequest, Failure> => {
   if (catalog.head === undefined) return err(notRun('not_ready', { retryAfterMs: 1000 }))
-  const team = ask.token === undefined ? undefined : catalog.teamOfToken(ask.token)
+  const team = request.token === undefined ? undefined : catalog.teamOfToken(request.token)
   if (team === undefined) return err(notRun('unauthenticated'))
-  return targetOf(ask.target, team, catalog).map(target => ({
+  return targetOf(request.target, team, catalog).map(target => ({
     team,
-    work: { id: ask.id, team: team.name, class: ask.class, patienceMs: ask.patienceMs, revision: catalog.revision, target, call: ask.call }
+    work: { id: request.id, team: team.name, class: request.class, patienceMs: request.patienceMs, revision: catalog.revision, target, call: request.call }
   }))
 }
--- a/packages/daemon/src/entry/side-connection.ts
+++ b/packages/daemon/src/entry/side-connection.ts
@@ -24,7 +24,7 @@
 
 export class SideConnection {
   readonly #pending = new Map<number, PendingRequest>()
-  readonly #configuration: CatalogExchange
+  readonly #catalogExchange: CatalogExchange
   #nextId = 0
   #load: LoadReport | undefined
   #sentSinceReport = 0
@@ -32,7 +32,7 @@
   #lastUsedAt = Date.now()
 
   private constructor (private readonly channel: Channel, catalog: Catalog, private readonly log: Log) {
-    this.#configuration = new CatalogExchange(catalog, channel)
+    this.#catalogExchange = new CatalogExchange(catalog, channel)
   }
 
   /** Opens a channel and waits for the peer's hello. `undefined` if the peer can't be reached or doesn't send one in time. */
@@ -105,7 +105,7 @@
   }
 
   pull (): Promise<void> {
-    return this.#configuration.pull()
+    return this.#catalogExchange.pull()
   }
 
   sendHeartbeat (frame: FrameOf<'heartbeat'>): void {
@@ -141,7 +141,7 @@
   async #readFrames (): Promise<void> {
     for await (const frame of this.channel.frames()) this.#handleFrame(frame)
     for (const id of [...this.#pending.keys()]) this.#failRequest(id, outcomeUnknown('connection_lost'))
-    this.#configuration.close()
+    this.#catalogExchange.close()
     this.log.debug('side.channel_ended', { ...await this.channel.ended })
   }
 
@@ -153,7 +153,7 @@
 
   #updateRevision (revision: Revision): void {
     this.#revision = revision
-    this.#configuration.observeRevision(revision)
+    this.#catalogExchange.observeRevision(revision)
   }
 
   #handleFrame (frame: Frame): void {
@@ -180,7 +180,7 @@
       this.#updateLoad(frame.load)
       this.#updateRevision(frame.revision)
     } else {
-      this.#configuration.handleFrame(frame)
+      this.#catalogExchange.handleFrame(frame)
     }
   }
 
--- a/packages/daemon/src/instance-poll.ts
+++ b/packages/daemon/src/instance-poll.ts
@@ -15,9 +15,9 @@
   signal: AbortSignal
 }
 
-export const pollInstancesOnce = async ({ list, log, onUpdate: update }: Omit<InstancePollOptions, 'signal' | 'random'>): Promise<void> => {
+export const pollInstancesOnce = async ({ list, log, onUpdate }: Omit<InstancePollOptions, 'signal' | 'random'>): Promise<void> => {
   const instances = await list.read()
-  if (instances.isOk()) update(instances.value)
+  if (instances.isOk()) onUpdate(instances.value)
   else log.warn('instances.unread', { fault: instances.error.code, detail: instances.error.detail })
 }
 
--- a/packages/daemon/src/operations.ts
+++ b/packages/daemon/src/operations.ts
@@ -18,8 +18,8 @@
   ? { kind: 'conflict', revision: outcome.head.revision, changes: outcome.head.recent }
   : { kind: outcome.kind, revision: outcome.head.revision }
 
-const toFaultReply = (fault: StoreError): ApplyReply =>
-  ({ kind: fault.code === 'ambiguous' ? 'unsettled' : 'unavailable', detail: describeStoreError(fault) })
+const toErrorReply = (error: StoreError): ApplyReply =>
+  ({ kind: error.code === 'ambiguous' ? 'unsettled' : 'unavailable', detail: describeStoreError(error) })
 
 export class EntryOperations implements OperatorHandlers {
   constructor (private readonly options: EntryOperationsOptions) {}
@@ -29,7 +29,7 @@
     const configuration = validateConfiguration(body.configuration)
     if (configuration.isErr()) return { kind: 'invalid', findings: configuration.error }
     const outcome = await applyConfiguration(store, { ...body, configuration: configuration.value }, random)
-    if (outcome.isErr()) return toFaultReply(outcome.error)
+    if (outcome.isErr()) return toErrorReply(outcome.error)
     await entry.catchUp()
     return toReply(outcome.value)
   }
--- a/packages/daemon/src/side/adapter-slots.ts
+++ b/packages/daemon/src/side/adapter-slots.ts
@@ -63,7 +63,7 @@
   readonly #averageLoadMs = new MovingAverage(initialLoadMs)
   readonly #leftovers: Set<string>
   #loadingLabel: string | undefined
-  /** Something changed while a slot was being freed or loaded, so the next load has to be chosen again. */
+  /** Set if something changed while a slot was being freed or loaded, so that the next load has to be chosen again. */
   #changed = false
 
   constructor (private readonly options: AdapterSlotsOptions) {
@@ -79,14 +79,14 @@
   }
 
   /** Waits until the adapter version is loaded, and protects it from eviction until the pin is released. */
-  pin (demand: PinRequest, signal: AbortSignal): Promise<Result<Pin, Failure>> {
-    this.#recordUse(demand.label)
-    const slot = this.#slots.get(demand.label)
-    if (slot !== undefined) return Promise.resolve(ok(this.#createPin(demand.label, slot)))
-    const loadBackoff = this.#backoffs.get(demand.label)
+  pin (request: PinRequest, signal: AbortSignal): Promise<Result<Pin, Failure>> {
+    this.#recordUse(request.label)
+    const slot = this.#slots.get(request.label)
+    if (slot !== undefined) return Promise.resolve(ok(this.#createPin(request.label, slot)))
+    const loadBackoff = this.#backoffs.get(request.label)
     const backoffMs = (loadBackoff?.until ?? 0) - Date.now()
     if (backoffMs > 0) return Promise.resolve(err(notRun('load_failed', { retryAfterMs: backoffMs })))
-    return this.#enqueue(demand, signal)
+    return this.#enqueue(request, signal)
   }
 
   /**
@@ -130,24 +130,24 @@
     this.#popularity.set(label, popularity)
   }
 
-  #enqueue (demand: PinRequest, signal: AbortSignal): Promise<Result<Pin, Failure>> {
+  #enqueue (request: PinRequest, signal: AbortSignal): Promise<Result<Pin, Failure>> {
     return new Promise(resolve => {
       const abandon = (failure: Failure): void => {
-        const others = (this.#waiters.get(demand.label) ?? []).filter(each => each !== waiter)
-        if (others.length > 0) this.#waiters.set(demand.label, others)
-        else this.#waiters.delete(demand.label)
+        const others = (this.#waiters.get(request.label) ?? []).filter(each => each !== waiter)
+        if (others.length > 0) this.#waiters.set(request.label, others)
+        else this.#waiters.delete(request.label)
         waiter.settle(err(failure))
       }
       const onAbort = (): void => abandon(notRun('cancelled'))
-      const timer = setTimeout(() => abandon(notRun('overloaded', { detail: 'No slot fell free in time.', retryAfterMs: this.#averageLoadMs.value })), Math.max(0, demand.deadline - Date.now()))
+      const timer = setTimeout(() => abandon(notRun('overloaded', { detail: 'No slot fell free in time.', retryAfterMs: this.#averageLoadMs.value })), Math.max(0, request.deadline - Date.now()))
       const settle = (result: Result<Pin, Failure>): void => {
         clearTimeout(timer)
         signal.removeEventListener('abort', onAbort)
         resolve(result)
       }
-      const waiter: Waiter = { ...demand, settle }
+      const waiter: Waiter = { ...request, settle }
       signal.addEventListener('abort', onAbort)
-      this.#waiters.set(demand.label, [...this.#waiters.get(demand.label) ?? [], waiter])
+      this.#waiters.set(request.label, [...this.#waiters.get(request.label) ?? [], waiter])
       void this.#loadNext()
     })
   }
@@ -169,7 +169,7 @@
     this.#changed = true
     if (this.#loadingLabel !== undefined) return
     this.#changed = false
-    const next = this.#mostWanted()
+    const next = this.#nextToLoad()
     if (next === undefined) return
     const { label } = next
     this.#loadingLabel = label
@@ -179,19 +179,19 @@
     if (hasRoom || this.#changed) void this.#loadNext()
   }
 
-  #mostWanted (): Waiter | undefined {
+  #nextToLoad (): Waiter | undefined {
     const weight = (waiters: Waiter[]): number => waiters.reduce((sum, waiter) => sum + classWeights[waiter.class], 0)
-    const demands = [...this.#waiters.values()].filter(waiters => waiters.length > 0)
-    return demands.sort((a, b) => weight(b) - weight(a))[0]?.[0]
+    const groups = [...this.#waiters.values()].filter(waiters => waiters.length > 0)
+    return groups.sort((a, b) => weight(b) - weight(a))[0]?.[0]
   }
 
   /** Evicts an adapter unless a slot is free. False while every slot is pinned; the next release of a pin tries again. */
   async #freeSlot (): Promise<boolean> {
     if (this.#slots.size + this.#leftovers.size < this.options.slots) return true
     const now = Date.now()
-    const residents = [...this.#slots].map(([label, { pins, loadMs }]) =>
+    const candidates = [...this.#slots].map(([label, { pins, loadMs }]) =>
       ({ label, pins, loadMs, popularity: this.#popularity.get(label)?.at(now) ?? 0 }))
-    const label = selectVictim(residents)
+    const label = selectVictim(candidates)
     if (label === undefined) return false
     // Removed before the unload order is sent, so that no request can pin the slot while it is being emptied.
     this.#slots.delete(label)
--- a/packages/daemon/src/side/exchange.ts
+++ b/packages/daemon/src/side/exchange.ts
@@ -24,16 +24,16 @@
     return this.#abort.signal
   }
 
-  /** The receiver has abandoned the request: aborts it and sends nothing more. */
+  /** Aborts a request that the receiver has abandoned, and sends nothing more. */
   cancel (): void {
     this.#abort.abort()
     this.window.close()
   }
 
-  async send (answer: Result<HttpResponse, Failure>, resident: boolean): Promise<void> {
-    if (answer.isErr()) return this.#sendFailure(answer.error)
+  async send (response: Result<HttpResponse, Failure>, resident: boolean): Promise<void> {
+    if (response.isErr()) return this.#sendFailure(response.error)
     const { id, channel } = this.options
-    const { status, headers, body } = answer.value
+    const { status, headers, body } = response.value
     channel.send({ type: 'head', id, status, headers, resident })
     try {
       await this.#sendBody(body)
--- a/packages/daemon/src/side/idempotency-records.ts
+++ b/packages/daemon/src/side/idempotency-records.ts
@@ -5,8 +5,8 @@
  * joins the run in progress, gets the kept response, or gets an error that says what is known. A refusal is recorded too: that
  * binding never runs, so the key may be bound again, here or at another process.
  *
- * Memory is bounded by epochs: keys of the current and the previous epoch are remembered, and bindings made in earlier ones are
- * refused as `unknown`. Only this process counts its epochs, so no clocks are compared, and a pause of the process, however long,
+ * Memory is bounded by epochs: keys of the current and the previous epoch are remembered, and bindings made in earlier ones
+ * get the outcome `unknown`. Only this process counts its epochs, so no clocks are compared, and a pause of the process, however long,
  * only makes an epoch longer.
  */
 import { createHash } from 'node:crypto'
@@ -16,7 +16,7 @@
 
 export interface IdempotencyRecordsOptions {
   incarnation: Incarnation
-  /** Keys remembered in one epoch. Requests with further keys are not run, and fail as `unknown` with `keys_full`. */
+  /** Keys remembered in one epoch. Requests with further keys are not run, and get the outcome `unknown` with `keys_full`. */
   maxKeys: number
   /** A longer response is streamed to the first caller only and not kept. */
   maxAnswerBytes: number
@@ -37,7 +37,7 @@
 
 interface ExecutionRecord {
   fingerprint: string
-  answer: Promise<Result<KeptAnswer, Failure>>
+  response: Promise<Result<KeptAnswer, Failure>>
   kept: KeptAnswer | undefined
 }
 
@@ -86,10 +86,10 @@
       return err(outcomeUnknown('keys_full', { retryAfterMs: 1000, detail: 'Ask again with the same key.' }))
     }
     const record = existing ?? this.#createRecord(id, fingerprint, start)
-    const answer = await record.answer
-    if (answer.isErr()) return err(answer.error)
-    const body = answer.value.read(existing === undefined)
-    return body === undefined ? err(outcomeUnknown('answer_expired')) : ok({ ...answer.value.head, body })
+    const response = await record.response
+    if (response.isErr()) return err(response.error)
+    const body = response.value.read(existing === undefined)
+    return body === undefined ? err(outcomeUnknown('answer_expired')) : ok({ ...response.value.head, body })
   }
 
   #checkBinding ({ binding }: Once): Failure | undefined {
@@ -100,9 +100,9 @@
   }
 
   #createRecord (id: string, fingerprint: string, start: StartExecution): ExecutionRecord {
-    const answer = this.#execute(start)
-    const record: ExecutionRecord = { fingerprint, answer, kept: undefined }
-    void answer.then(result => { record.kept = result.unwrapOr(undefined) })
+    const response = this.#execute(start)
+    const record: ExecutionRecord = { fingerprint, response, kept: undefined }
+    void response.then(result => { record.kept = result.unwrapOr(undefined) })
     this.#current.set(id, record)
     return record
   }
@@ -110,14 +110,14 @@
   async #execute (start: StartExecution): Promise<Result<KeptAnswer, Failure>> {
     try {
       const result = await start()
-      return result.map(answer => this.#keep(answer))
+      return result.map(response => this.#keep(response))
     } catch (error) {
       return err(outcomeUnknown('internal', { detail: (error as Error).message }))
     }
   }
 
-  #keep (answer: HttpResponse): KeptAnswer {
-    const kept = new KeptAnswer(answer, this.options.maxAnswerBytes, bytes => this.#charge(bytes))
+  #keep (response: HttpResponse): KeptAnswer {
+    const kept = new KeptAnswer(response, this.options.maxAnswerBytes, bytes => this.#charge(bytes))
     this.#keptAnswers.add(kept)
     return kept
   }
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Discards the bytes of a response that is complete; one still being read stays. */
+  /** Discards the bytes of a response that has ended; one still being read from the backend server stays. */
   #discard (kept: KeptAnswer | undefined): void {
     if (kept?.isComplete !== true || !this.#keptAnswers.delete(kept)) return
     this.#keptBytes -= kept.discard()
--- a/packages/daemon/src/side/kept-answer.ts
+++ b/packages/daemon/src/side/kept-answer.ts
@@ -19,9 +19,9 @@
   #ownerReads = false
   readonly #waiters = new Set<() => void>()
 
-  constructor (answer: HttpResponse, private readonly limit: number, private readonly charge: (bytes: number) => void) {
-    this.head = { status: answer.status, headers: answer.headers }
-    void this.#readAll(answer.body)
+  constructor (response: HttpResponse, private readonly limit: number, private readonly charge: (bytes: number) => void) {
+    this.head = { status: response.status, headers: response.headers }
+    void this.#readAll(response.body)
   }
 
   get isComplete (): boolean {
--- a/packages/daemon/src/side/runner.ts
+++ b/packages/daemon/src/side/runner.ts
@@ -32,8 +32,8 @@
   }
 }
 
-/** The failure reported to the caller for each fault. A fault that doesn't prove that the request hasn't run gives `unknown`. */
-const faultFailures: Record<BackendError['code'], (detail: string) => Failure> = {
+/** The failure reported to the caller for each error. One that doesn't prove that the request hasn't run gives `unknown`. */
+const failuresByErrorCode: Record<BackendError['code'], (detail: string) => Failure> = {
   unreachable: detail => notRun('backend_unreachable', { detail, retryAfterMs: 1000 }),
   lost: detail => outcomeUnknown('connection_lost', { detail }),
   not_loaded: detail => notRun('engine_restarted', { detail }),
@@ -42,7 +42,7 @@
   refused: detail => notRun('backend_refused', { detail })
 }
 
-const failureOf = ({ code, detail }: BackendError): Failure => faultFailures[code](detail)
+const failureOf = ({ code, detail }: BackendError): Failure => failuresByErrorCode[code](detail)
 
 export interface ServiceRunnerOptions {
   service: PlainService
@@ -70,12 +70,12 @@
   async start (work: Work, signal: AbortSignal): Promise<Result<HttpResponse, Failure>> {
     const release = await this.queue.admit(work, Date.now() + work.patienceMs, signal)
     if (release.isErr()) return err(release.error)
-    const answer = await this.options.service.call({ call: work.call, fence: this.options.fence, signal })
-    if (answer.isErr()) {
+    const response = await this.options.service.call({ call: work.call, fence: this.options.fence, signal })
+    if (response.isErr()) {
       release.value()
-      return err(failureOf(answer.error))
+      return err(failureOf(response.error))
     }
-    return ok({ ...answer.value, body: withCompletion(answer.value.body, release.value) })
+    return ok({ ...response.value, body: withCompletion(response.value.body, release.value) })
   }
 
   watch (): Promise<void> {
@@ -167,21 +167,21 @@
       else void this.#cancelThenRelease(work, pin)
     }
     const { engine, fence } = this.options
-    const generation = { id: work.id, label: pin.label, call: work.call, priority: enginePriorities[work.class], salt: work.team, fence, signal }
-    const answer = await engine.generate(generation)
-    if (answer.isErr()) {
-      done(answer.error.code !== 'lost')
-      if (answer.error.boot !== undefined) this.#updateBoot(answer.error.boot)
-      return err(failureOf(answer.error))
+    const request = { id: work.id, label: pin.label, call: work.call, priority: enginePriorities[work.class], salt: work.team, fence, signal }
+    const response = await engine.generate(request)
+    if (response.isErr()) {
+      done(response.error.code !== 'lost')
+      if (response.error.boot !== undefined) this.#updateBoot(response.error.boot)
+      return err(failureOf(response.error))
     }
-    if (answer.value.boot !== pin.boot) {
+    if (response.value.boot !== pin.boot) {
       done(true)
-      this.#updateBoot(answer.value.boot)
+      this.#updateBoot(response.value.boot)
       // The restarted engine may have run the request on something other than the adapter, so its response is discarded.
-      void answer.value.body[Symbol.asyncIterator]().return?.()
+      void response.value.body[Symbol.asyncIterator]().return?.()
       return err(outcomeUnknown('engine_restarted'))
     }
-    return ok({ status: answer.value.status, headers: answer.value.headers, body: withCompletion(answer.value.body, done) })
+    return ok({ status: response.value.status, headers: response.value.headers, body: withCompletion(response.value.body, done) })
   }
 
   /**
--- a/packages/daemon/src/side/side-process.ts
+++ b/packages/daemon/src/side/side-process.ts
@@ -44,8 +44,8 @@
   }
 
   get load (): LoadReport {
-    const { queue: requestQueue } = this.options.runner
-    return { waiting: requestQueue.waiting, running: requestQueue.running, capacity: requestQueue.capacity, epoch: this.idempotencyRecords.epoch, leaving: this.#draining }
+    const { queue } = this.options.runner
+    return { waiting: queue.waiting, running: queue.running, capacity: queue.capacity, epoch: this.idempotencyRecords.epoch, leaving: this.#draining }
   }
 
   get running (): number {
@@ -61,24 +61,24 @@
   async accept (stream: Duplex): Promise<void> {
     const { catalog, log } = this.options
     const channel = new Channel(stream, { hello: () => this.#hello(), heartbeat: () => this.#heartbeat() })
-    const exchanges = new Map<number, Exchange>()
-    const configuration = new CatalogExchange(catalog, channel)
+    const senders = new Map<number, Exchange>()
+    const catalogExchange = new CatalogExchange(catalog, channel)
     let lastId = -1
     this.#channels.add(channel)
-    void channel.helloReceived.then(greeted => { if (greeted) configuration.observeRevision(channel.peer.revision) })
+    void channel.helloReceived.then(greeted => { if (greeted) catalogExchange.observeRevision(channel.peer.revision) })
     for await (const frame of channel.frames()) {
       if (frame.type === 'run') {
         // Ids increase, so a duplicated frame is recognized and starts nothing.
-        if (frame.id > lastId) this.#startRequest(frame, channel, exchanges, configuration)
+        if (frame.id > lastId) this.#startRequest(frame, channel, senders, catalogExchange)
         lastId = Math.max(lastId, frame.id)
       }
-      if (frame.type === 'cancel') exchanges.get(frame.id)?.cancel()
-      else if (frame.type === 'credit') exchanges.get(frame.id)?.window.addCredit(frame.bytes)
-      else configuration.handleFrame(frame)
+      if (frame.type === 'cancel') senders.get(frame.id)?.cancel()
+      else if (frame.type === 'credit') senders.get(frame.id)?.window.addCredit(frame.bytes)
+      else catalogExchange.handleFrame(frame)
     }
     this.#channels.delete(channel)
-    configuration.close()
-    for (const exchange of exchanges.values()) exchange.cancel()
+    catalogExchange.close()
+    for (const sender of senders.values()) sender.cancel()
     log.debug('channel.ended', { ...await channel.ended })
   }
 
@@ -115,43 +115,43 @@
     }
   }
 
-  #startRequest ({ id, work }: FrameOf<'run'>, channel: Channel, exchanges: Map<number, Exchange>, configuration: CatalogExchange): void {
-    const exchange = new Exchange({ id, channel, load: () => this.load })
-    exchanges.set(id, exchange)
-    const task = this.#serve(work, exchange, configuration).finally(() => {
-      exchanges.delete(id)
+  #startRequest ({ id, work }: FrameOf<'run'>, channel: Channel, senders: Map<number, Exchange>, catalogExchange: CatalogExchange): void {
+    const sender = new Exchange({ id, channel, load: () => this.load })
+    senders.set(id, sender)
+    const task = this.#serve(work, sender, catalogExchange).finally(() => {
+      senders.delete(id)
       this.#tasks.delete(task)
     })
     this.#tasks.add(task)
   }
 
-  async #serve (work: Work, exchange: Exchange, configuration: CatalogExchange): Promise<void> {
+  async #serve (work: Work, sender: Exchange, catalogExchange: CatalogExchange): Promise<void> {
     const resident = this.options.runner.resident(work)
-    const answer = await this.#answer(work, exchange.signal, configuration)
-    if (answer.isErr()) this.options.log.debug('work.failed', { request: work.id, team: work.team, code: answer.error.code, outcome: answer.error.outcome })
-    await exchange.send(answer, resident)
+    const response = await this.#respond(work, sender.signal, catalogExchange)
+    if (response.isErr()) this.options.log.debug('work.failed', { request: work.id, team: work.team, code: response.error.code, outcome: response.error.outcome })
+    await sender.send(response, resident)
   }
 
-  async #answer (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<HttpResponse, Failure>> {
+  async #respond (work: Work, signal: AbortSignal, catalogExchange: CatalogExchange): Promise<Result<HttpResponse, Failure>> {
     const { once } = work
-    if (once === undefined) return await this.#start(work, signal, configuration)
+    if (once === undefined) return await this.#start(work, signal, catalogExchange)
     // A request with an idempotency key runs to its end even if its caller has gone: a retry gets the response.
-    return await this.idempotencyRecords.run(work, once, () => this.#start(work, this.#shutdown.signal, configuration))
+    return await this.idempotencyRecords.run(work, once, () => this.#start(work, this.#shutdown.signal, catalogExchange))
   }
 
-  async #start (work: Work, signal: AbortSignal, configuration: CatalogExchange): Promise<Result<HttpResponse, Failure>> {
-    const refusal = await this.#refusal(work, configuration)
+  async #start (work: Work, signal: AbortSignal, catalogExchange: CatalogExchange): Promise<Result<HttpResponse, Failure>> {
+    const refusal = await this.#refusal(work, catalogExchange)
     if (refusal !== undefined) return err(refusal)
     return await this.options.runner.start(work, signal)
   }
 
-  async #refusal (work: Work, configuration: CatalogExchange): Promise<Failure | undefined> {
+  async #refusal (work: Work, catalogExchange: CatalogExchange): Promise<Failure | undefined> {
     const { serving, runner, catalog } = this.options
     if (this.#draining) return notRun('leaving')
     if (servingName(servingOf(work.target)) !== servingName(serving)) return notRun('no_backend', { detail: `This process serves ${servingName(serving)}.` })
     if (this.#tasks.size > maxRunning) return notRun('overloaded', { retryAfterMs: 1000 })
     if (work.revision < catalog.revision) return notRun('stale_revision', { revision: catalog.revision })
-    if (work.revision > catalog.revision) await configuration.pull()
+    if (work.revision > catalog.revision) await catalogExchange.pull()
     if (work.revision > catalog.revision) return notRun('stale_revision', { revision: catalog.revision })
     if (this.#draining) return notRun('leaving')
     return runner.refusalOf(work)
--- a/packages/daemon/src/start-entry.ts
+++ b/packages/daemon/src/start-entry.ts
@@ -44,7 +44,7 @@
   metrics.gauge('finchpitch_configuration_revision', 'Configuration revision in force at this process.', () => catalog.revision)
 
   let stopping = false
-  const unready = (): string | undefined => stopping ? 'stopping' : entry.ready ? undefined : 'no configuration yet'
+  const notReadyReason = (): string | undefined => stopping ? 'stopping' : entry.ready ? undefined : 'no configuration yet'
   const access = { tokenHash: settings['operator-token-hash'] }
   const operations = new EntryOperations({ process, entry, catalog, store, random })
   const setLogLevel = (level: typeof log.level): void => { log.level = level }
@@ -55,8 +55,8 @@
     port: settings['caller-port'],
     ...tls,
     routes: {
-      ...callerRoutes({ log, serve: (ask, signal) => entry.serve(ask, signal), onRequestEnd: (ask, end) => metrics.ended(ask.class, end) }),
-      ...ticketRoutes({ issue: ask => entry.ticket(ask) })
+      ...callerRoutes({ log, serve: (request, signal) => entry.serve(request, signal), onRequestEnd: (request, end) => metrics.ended(request.class, end) }),
+      ...ticketRoutes({ issue: request => entry.ticket(request) })
     }
   })
   const operators = new Gateway({
@@ -64,7 +64,7 @@
     host,
     port: settings['operator-port'],
     ...tls,
-    routes: { ...operatorRoutes(operations, access), ...processRoutes({ notReadyReason: unready, setLogLevel, metrics: () => metrics.print() }, access) }
+    routes: { ...operatorRoutes(operations, access), ...processRoutes({ notReadyReason, setLogLevel, metrics: () => metrics.print() }, access) }
   })
   const peers = await listen(host, settings['peer-port'], stream => entry.accept(stream))
   address = advertisedAddress(peers.address, settings['advertise-host'])
--- a/packages/daemon/src/uplink.ts
+++ b/packages/daemon/src/uplink.ts
@@ -1,9 +1,9 @@
 /**
  * Uplinks propagate configuration changes to every process while only a few of them watch the store.
  *
- * In each failure domain, the first entries by one rendezvous hash are the watchers. Every other process keeps a channel to one of
- * them, which announces a new revision by a heartbeat as soon as it has it. Processes may see different instance lists for a
- * moment: then a few more entries watch, or a process learns of a change one hop later.
+ * In each failure domain, the entries that rank first by rendezvous hashing are the watchers. Every other process keeps a channel
+ * to one of them, which announces a new revision by a heartbeat as soon as it has it. Processes may see different instance lists
+ * for a moment: then a few more entries watch, or a process learns of a change one hop later.
  */
 import { backoff, pause, type Address, type FailureDomain, type Log, type ProcessId, type Random } from '@finchpitch/core'
 import { rankCandidates } from '@finchpitch/decisions'
--- a/packages/daemon/test/dispatcher.test.ts
+++ b/packages/daemon/test/dispatcher.test.ts
@@ -15,7 +15,7 @@
   call: { method: 'PUT', path: '/', headers: {}, body: Buffer.from('x') }
 }
 const once = { key: RequestKey.parse('key'), firstTry: false }
-const answer: HttpResponse = { status: 200, headers: {}, body: (async function * () { yield Buffer.from('whole') })() }
+const response: HttpResponse = { status: 200, headers: {}, body: (async function * () { yield Buffer.from('whole') })() }
 
 describe('dispatcher', () => {
   let time: FakeTime
@@ -54,13 +54,13 @@
 
   describe('with an idempotency key', () => {
     it('binds the key again after a refusal', async () => {
-      results = [err(notRun('leaving')), ok(answer)]
+      results = [err(notRun('leaving')), ok(response)]
       expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('ran')
       expect(store.calls.writes).to.equal(2)
     })
 
     it('does not treat an attempt that was not sent as a refusal', async () => {
-      results = [err(outcomeUnknown('connection_lost')), err(notRun('not_sent')), ok(answer)]
+      results = [err(outcomeUnknown('connection_lost')), err(notRun('not_sent')), ok(response)]
       expect(await outcomeOf(dispatcher.runOnce(work, once, signal))).to.equal('ran')
       expect(store.calls.writes).to.equal(1)
     })
@@ -82,14 +82,14 @@
 
   describe('without an idempotency key', () => {
     it('is retried after an unknown outcome only if it is repeatable', async () => {
-      results = [err(outcomeUnknown('connection_lost')), ok(answer)]
+      results = [err(outcomeUnknown('connection_lost')), ok(response)]
       expect(await outcomeOf(dispatcher.run(work, true, signal))).to.equal('ran')
       attempts = 0
       expect(await outcomeOf(dispatcher.run(work, false, signal))).to.equal('unknown connection_lost')
     })
 
     it('is retried after a refusal even if it is not repeatable', async () => {
-      results = [err(notRun('leaving')), ok(answer)]
+      results = [err(notRun('leaving')), ok(response)]
       expect(await outcomeOf(dispatcher.run(work, false, signal))).to.equal('ran')
     })
   })
--- a/packages/daemon/test/idempotency-records.test.ts
+++ b/packages/daemon/test/idempotency-records.test.ts
@@ -6,9 +6,9 @@
 const incarnation = Incarnation.parse('abcdefghijklmnop')
 type Once = NonNullable<Work['once']>
 
-const once = (nonce: string, epoch = 0, at = incarnation): Once => ({
+const once = (nonce: string, epoch = 0, boundTo = incarnation): Once => ({
   key: RequestKey.parse('key'),
-  binding: { process: ProcessId.parse('side'), address: Address.parse('127.0.0.1:1'), incarnation: at, epoch, nonce }
+  binding: { process: ProcessId.parse('side'), address: Address.parse('127.0.0.1:1'), incarnation: boundTo, epoch, nonce }
 })
 
 const work = (body = 'a'): Work => ({
@@ -21,7 +21,7 @@
   call: { method: 'PUT', path: '/', headers: {}, body: Buffer.from(body) }
 })
 
-const answer = (...chunks: string[]): HttpResponse => ({
+const response = (...chunks: string[]): HttpResponse => ({
   status: 200,
   headers: {},
   body: (async function * () { for (const chunk of chunks) yield Buffer.from(chunk) })()
@@ -43,7 +43,7 @@
   let starts: number
   const start = async (): Promise<Result<HttpResponse, Failure>> => {
     starts += 1
-    return ok(answer('whole ', 'answer'))
+    return ok(response('whole ', 'answer'))
   }
 
   beforeEach(() => {
@@ -102,7 +102,7 @@
 
     it('stream a long response completely to its first reader and keep it for no other', async () => {
       records = new IdempotencyRecords({ incarnation, ...defaultIdempotencyLimits, maxAnswerBytes: 10 })
-      const long = async (): Promise<Result<HttpResponse, Failure>> => ok(answer('12345678', '12345678', '12345678', 'end'))
+      const long = async (): Promise<Result<HttpResponse, Failure>> => ok(response('12345678', '12345678', '12345678', 'end'))
       expect(await read(await records.run(work(), once('n'), long))).to.equal('123456781234567812345678end')
       expect(await read(await records.run(work(), once('n'), long))).to.equal('unknown answer_expired')
     })
--- a/packages/daemon/test/processes.test.ts
+++ b/packages/daemon/test/processes.test.ts
@@ -228,9 +228,9 @@
       system = await TestSystem.start({ entries: 2 })
       const teams = testConfiguration.teams.map(team => ({ ...team, weight: 2 }))
       await system.apply({ ...testConfiguration, teams }, 1)
-      const inForce = async (name: string): Promise<string> => await (await request(`${system.daemon(name).url('operators')}/metrics`)).body.text()
+      const metricsOf = async (name: string): Promise<string> => await (await request(`${system.daemon(name).url('operators')}/metrics`)).body.text()
       for (const name of system.daemons.keys()) {
-        while (!(await inForce(name)).includes('finchpitch_configuration_revision 2')) { /* polls until it is or the test times out */ }
+        while (!(await metricsOf(name)).includes('finchpitch_configuration_revision 2')) { /* polls until it is or the test times out */ }
       }
     })
   })
--- a/packages/operators/src/routes.ts
+++ b/packages/operators/src/routes.ts
@@ -81,18 +81,18 @@
   applied: 200, unchanged: 200, conflict: 409, invalid: 422, unsettled: 504, unavailable: 503
 }
 
-export const operatorRoutes = (operations: OperatorHandlers, access: OperatorAccess): Routes => {
+export const operatorRoutes = (handlers: OperatorHandlers, access: OperatorAccess): Routes => {
   const replyWith = (read: () => unknown): RouteHandler => requireOperator(access, async ({ response }) => sendJson(response, 200, read()))
   return {
     'POST /operator/v1/apply': requireOperator(access, async exchange => {
       const body = await readJson(exchange, ApplyBody)
       if (body === undefined) return
-      const reply = await operations.apply(body)
+      const reply = await handlers.apply(body)
       sendJson(exchange.response, applyStatusCodes[reply.kind], reply)
     }),
-    'GET /operator/v1/configuration': replyWith(() => operations.configuration()),
-    'GET /operator/v1/history': replyWith(() => operations.history()),
-    'GET /operator/v1/status': replyWith(() => operations.status())
+    'GET /operator/v1/configuration': replyWith(() => handlers.configuration()),
+    'GET /operator/v1/history': replyWith(() => handlers.history()),
+    'GET /operator/v1/status': replyWith(() => handlers.status())
   }
 }
 
--- a/packages/proofs/src/matrix/cluster.ts
+++ b/packages/proofs/src/matrix/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A small cluster in one operating system process, on a clock that moves only as a scenario advances it: the real code of
- * entries and side processes, with stand-ins for the platform, the network and the backend servers.
+ * A small cluster in one operating system process, on a fake clock that only the scenario advances: the real code of entries
+ * and side processes, with stand-ins for the platform, the network and the backend servers.
  */
 import { Address, FailureDomain, ModelName, ProcessId, RequestKey, Revision, ServiceName, newIncarnation, newRequestId, silentLog, type HttpResponse, type Failure, type Serving } from '@finchpitch/core'
 import { parseCallerRequest, type CallerRequest } from '@finchpitch/callers'
--- a/packages/proofs/src/matrix/main.ts
+++ b/packages/proofs/src/matrix/main.ts
@@ -39,7 +39,7 @@
   printGrid(cells)
   const violated = cells.filter(cell => cell.violations.length > 0)
   for (const { scenario: name, step: at, fault: by, violations } of violated) {
-    for (const { guarantee: promise, detail } of violations) printLine(`${name} / ${at} / ${by}: ${guarantees[promise]}: ${detail}`)
+    for (const { guarantee, detail } of violations) printLine(`${name} / ${at} / ${by}: ${guarantees[guarantee]}: ${detail}`)
   }
   printLine(`\n${cells.length} cells, ${cells.filter(cell => cell.stepReached).length} with the fault at its step, ${violated.length} with a violated guarantee`)
   process.exitCode = violated.length > 0 ? 1 : 0
--- a/packages/proofs/src/matrix/matrix.ts
+++ b/packages/proofs/src/matrix/matrix.ts
@@ -21,8 +21,8 @@
   const cluster = await Cluster.start(scenario.layout)
   try {
     cluster.scheduleFault(step, () => fault.inject(cluster))
-    const report = await scenario.run(cluster, fault)
-    return { ...report, scenario: scenarioName, step, fault: faultName, stepReached: cluster.stepReached, checks: scenario.checks }
+    const result = await scenario.run(cluster, fault)
+    return { ...result, scenario: scenarioName, step, fault: faultName, stepReached: cluster.stepReached, checks: scenario.checks }
   } finally {
     cluster.close()
   }
--- a/packages/proofs/src/matrix/network.ts
+++ b/packages/proofs/src/matrix/network.ts
@@ -26,7 +26,7 @@
   onFrame: (type: FrameType, from: string, to: string) => void = () => {}
   readonly #listeners = new Map<Address, Listener>()
   readonly #links = new Set<Link>()
-  readonly #frozen = new Set<string>()
+  readonly #pausedProcesses = new Set<string>()
 
   listen (address: Address, listener: Listener): void {
     this.#listeners.set(address, listener)
@@ -44,15 +44,15 @@
   }
 
   isPaused (process: string): boolean {
-    return this.#frozen.has(process)
+    return this.#pausedProcesses.has(process)
   }
 
   pause (process: string): void {
-    this.#frozen.add(process)
+    this.#pausedProcesses.add(process)
   }
 
   resume (process: string): void {
-    this.#frozen.delete(process)
+    this.#pausedProcesses.delete(process)
     for (const link of this.#links) link.flush()
   }
 
--- a/packages/proofs/src/matrix/process-gate.ts
+++ b/packages/proofs/src/matrix/process-gate.ts
@@ -120,8 +120,8 @@
   constructor (private readonly gate: ProcessGate, private readonly service: PlainService) {}
 
   async call (call: ServiceCall): Promise<Result<HttpResponse, BackendError>> {
-    const answer = await this.gate.call(() => this.service.call(call), 'execute', 'executed', Buffer.from(call.call.body).toString())
-    return answer.map(value => ({ ...value, body: gatedBody(this.gate, value.body) }))
+    const response = await this.gate.call(() => this.service.call(call), 'execute', 'executed', Buffer.from(call.call.body).toString())
+    return response.map(value => ({ ...value, body: gatedBody(this.gate, value.body) }))
   }
 }
 
@@ -148,9 +148,9 @@
     return this.engine.cacheEvents(signal)
   }
 
-  async generate (generation: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
-    const signal = AbortSignal.any([generation.signal, this.gate.killSignal])
-    const answer = await this.gate.call(() => this.engine.generate({ ...generation, signal }), 'execute', 'executed')
-    return answer.map(value => ({ ...value, body: gatedBody(this.gate, value.body) }))
+  async generate (request: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
+    const signal = AbortSignal.any([request.signal, this.gate.killSignal])
+    const response = await this.gate.call(() => this.engine.generate({ ...request, signal }), 'execute', 'executed')
+    return response.map(value => ({ ...value, body: gatedBody(this.gate, value.body) }))
   }
 }
--- a/packages/proofs/src/matrix/scenarios.ts
+++ b/packages/proofs/src/matrix/scenarios.ts
@@ -147,7 +147,7 @@
   for (const { adapter, attempts } of requests) {
     const answers = await Promise.all(attempts.map(each => currentAnswer(cluster, each)))
     const label = `prompt of ${adapter}`
-    violations.push(...checkAnswers({ label, attempts: answers.map(each => ({ ...each, runsThen: 0 })), isComplete: isCompleteStream(`quetzal/${adapter}@v2`) }))
+    violations.push(...checkAnswers({ label, attempts: answers.map(each => ({ ...each, runsWhenAnswered: 0 })), isComplete: isCompleteStream(`quetzal/${adapter}@v2`) }))
     if (outcomeOfLast(answers) !== 'ran') last = outcomeOfLast(answers)
     if (outcomeOfLast(answers) !== 'ran' && fault.permanent !== true) violations.push({ guarantee: 'R', detail: `${label} was answered ${outcomeOfLast(answers)} (${answers.at(-1)?.code ?? ''})` })
   }
@@ -160,7 +160,7 @@
   const alive = cluster.members.filter(({ gate }) => !gate.killed)
   const behind = alive.filter(({ catalog }) => catalog.revision < expectedRevision)
   const late = cluster.revisionChanges.filter(({ revision, at }) => revision === expectedRevision && at > deadline)
-  const reverted = cluster.revisionChanges.filter((move, index) => cluster.revisionChanges.slice(0, index).some(earlier => earlier.process === move.process && earlier.revision >= move.revision))
+  const reverted = cluster.revisionChanges.filter((change, index) => cluster.revisionChanges.slice(0, index).some(earlier => earlier.process === change.process && earlier.revision >= change.revision))
   return [
     ...behind.map(({ instance, catalog }): Violation => ({ guarantee: 'C', detail: `${instance.process} is at revision ${catalog.revision}, not ${expectedRevision}` })),
     ...late.map(({ process, at }): Violation => ({ guarantee: 'C', detail: `${process} applied revision ${expectedRevision} ${at - deadline} ms late` })),
@@ -193,7 +193,7 @@
 /** Time for the entries to learn that the side process is draining, before new requests are sent. */
 const drainNoticeMs = 3000
 
-/** A side process drains while requests run, and the fault is injected besides. */
+/** A side process drains while requests run, and the fault is injected as well. */
 const drainSide = async (cluster: Cluster, fault: Fault): Promise<ScenarioResult> => {
   for (const service of cluster.services) service.delayMs = 2000
   const early = ['a', 'b', 'c'].map(label => ({ label, attempt: cluster.sendRequest(0, cluster.bookingRequest(`key-${label}`, label), label) }))
--- a/packages/soak/src/disturbances.ts
+++ b/packages/soak/src/disturbances.ts
@@ -1,6 +1,6 @@
 /**
- * Records when which machine was stopped, frozen or disconnected. Time limits that start when a machine is notified do not apply to it
- * in these periods.
+ * Records the periods in which machines were stopped, suspended or disconnected. Time limits that start when a machine is notified do not
+ * apply to it in these periods.
  */
 
 interface Disturbance {
--- a/packages/stand-ins/src/engine-server.ts
+++ b/packages/stand-ins/src/engine-server.ts
@@ -7,7 +7,7 @@
 import { HttpStandIn, readBytes, readJson, sendJson } from './http-stand-in.js'
 import type { MemoryEngine } from './memory-engine.js'
 
-const faultStatuses: Record<BackendError['code'], number> = { unreachable: 503, lost: 502, not_loaded: 404, fenced: 412, busy: 429, refused: 400 }
+const statusByErrorCode: Record<BackendError['code'], number> = { unreachable: 503, lost: 502, not_loaded: 404, fenced: 412, busy: 429, refused: 400 }
 
 /** Number of response streams kept for resumption, including complete ones. */
 const maxRetainedStreams = 1000
@@ -44,14 +44,14 @@
   async #load (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = await readJson(request) as { lora_name: string, lora_path: string }
     const loaded = await this.engine.load({ label: order.lora_name, source: order.lora_path, fence: fenceOf(request) })
-    if (loaded.isErr()) return this.#sendFault(response, loaded.error)
+    if (loaded.isErr()) return this.#sendError(response, loaded.error)
     sendJson(response, 200, {}, { 'x-engine-boot': loaded.value })
   }
 
   async #unload (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = await readJson(request) as { lora_name: string }
     const unloaded = await this.engine.unload({ label: order.lora_name, fence: fenceOf(request) })
-    if (unloaded.isErr()) return this.#sendFault(response, unloaded.error)
+    if (unloaded.isErr()) return this.#sendError(response, unloaded.error)
     sendJson(response, 200, {}, { 'x-engine-boot': this.engine.boot })
   }
 
@@ -66,7 +66,7 @@
   async #cancel (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = await readJson(request) as { request_id: string }
     const cancelled = await this.engine.cancel({ id: order.request_id, fence: fenceOf(request) })
-    if (cancelled.isErr()) return this.#sendFault(response, cancelled.error)
+    if (cancelled.isErr()) return this.#sendError(response, cancelled.error)
     sendJson(response, 200, {}, { 'x-engine-boot': this.engine.boot })
   }
 
@@ -79,7 +79,7 @@
     const { model, cache_salt: salt } = JSON.parse(body.toString()) as { model: string, cache_salt?: string }
     const call = { method: 'POST', path: request.url ?? '', headers: {}, body }
     const answer = await this.engine.generate({ id, label: model, call, priority: 0, salt: salt ?? '', fence: fenceOf(request), signal: disconnected.signal })
-    if (answer.isErr()) return this.#sendFault(response, answer.error)
+    if (answer.isErr()) return this.#sendError(response, answer.error)
     const { status, headers, boot } = answer.value
     response.writeHead(status, { ...headers, 'x-engine-boot': boot })
     response.flushHeaders()
@@ -134,9 +134,9 @@
     await this.#send(stream, lastEvent + 1, response)
   }
 
-  #sendFault (response: ServerResponse, { code, detail, boot }: BackendError): void {
+  #sendError (response: ServerResponse, { code, detail, boot }: BackendError): void {
     if (code === 'lost') response.destroy()
-    else sendJson(response, faultStatuses[code], { error: detail }, boot === undefined ? {} : { 'x-engine-boot': boot })
+    else sendJson(response, statusByErrorCode[code], { error: detail }, boot === undefined ? {} : { 'x-engine-boot': boot })
   }
 }
 
--- a/packages/stand-ins/src/fleet/backend-server.ts
+++ b/packages/stand-ins/src/fleet/backend-server.ts
@@ -147,9 +147,9 @@
   async #serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBytes(request)
     const requestId = String(request.headers['request-id'] ?? '')
-    const refused = this.#rejectionStatus(request)
-    this.arrivals.push({ id: requestId, at: performance.now(), refused: refused !== undefined })
-    if (refused !== undefined) return sendJson(response, refused, {}, this.#rejectionHeaders(refused))
+    const rejectionStatus = this.#rejectionStatus(request)
+    this.arrivals.push({ id: requestId, at: performance.now(), refused: rejectionStatus !== undefined })
+    if (rejectionStatus !== undefined) return sendJson(response, rejectionStatus, {}, this.#rejectionHeaders(rejectionStatus))
     this.startedIds.push(requestId)
     this.headers.set(requestId, request.headers)
     response.on('close', () => { if (!response.writableFinished) this.disconnectedIds.push(requestId) })
@@ -186,9 +186,9 @@
     if (!this.hasModel) return 421
     const adapter = String(request.headers.model ?? '').split('/')[1]
     if (adapter === undefined) return undefined
-    const held = this.adapters.get(adapter)
+    const loadedVersion = this.adapters.get(adapter)
     const expected = request.headers['expect-version']
-    return held === undefined || (expected !== undefined && Number(expected) !== held) ? 421 : undefined
+    return loadedVersion === undefined || (expected !== undefined && Number(expected) !== loadedVersion) ? 421 : undefined
   }
 
   #rejectionHeaders (status: number): Record<string, string> {
--- a/packages/stand-ins/src/fleet/caller.ts
+++ b/packages/stand-ins/src/fleet/caller.ts
@@ -28,7 +28,7 @@
 }
 
 /** Sends a request. Rejects if the connection ends before a response begins. */
-export const sendToFleet = (fleet: FleetSystem, { path, id, model, remainingMs = 3000, headers = {}, agent, entry = 0, disconnectAfterMs: leaveAfterMs, body = '{"ask":1}' }: FleetRequest): Promise<FleetResponse> => new Promise((resolve, reject) => {
+export const sendToFleet = (fleet: FleetSystem, { path, id, model, remainingMs = 3000, headers = {}, agent, entry = 0, disconnectAfterMs, body = '{"ask":1}' }: FleetRequest): Promise<FleetResponse> => new Promise((resolve, reject) => {
   const allHeaders = { host: 'fleet.example', 'request-id': id, 'deadline-ms': String(remainingMs), ...(model === undefined ? {} : { model }), ...headers }
   const outgoing = request({ ...fleet.callerAddress(entry), method: 'POST', path, headers: allHeaders, agent }, response => {
     let text = ''
@@ -39,5 +39,5 @@
   })
   outgoing.on('error', reject)
   outgoing.end(body)
-  if (leaveAfterMs !== undefined) setTimeout(() => outgoing.destroy(), leaveAfterMs)
+  if (disconnectAfterMs !== undefined) setTimeout(() => outgoing.destroy(), disconnectAfterMs)
 })
--- a/packages/stand-ins/src/fleet/fleet-system.ts
+++ b/packages/stand-ins/src/fleet/fleet-system.ts
@@ -87,14 +87,14 @@
     for (let domain = 0; domain < this.options.domains; domain++) await this.#startDomain(domain)
     if (this.options.storeProxies === true) await this.#startStoreProxies()
     for (const machine of [...this.entries, ...this.sides]) await this.startProcess(machine)
-    await this.#sidesConnected()
+    await this.#waitForSides()
   }
 
   /**
    * Resolves once each entry is connected to the side processes of its domain. A start takes 0.3 s, but over 3 s while fleets of 55
    * processes start on the same host: tests that waited a fixed time ran before all processes were ready.
    */
-  async #sidesConnected (): Promise<void> {
+  async #waitForSides (): Promise<void> {
     const { enginesPerDomain } = this.options
     const connections = (entry: Machine): number => this.lines(entry).filter(line => line.event === 'side.joined').length
     await eventually('all entries are connected to their side processes', () => this.entries.every(entry => connections(entry) >= enginesPerDomain), maxStartMs)
@@ -196,7 +196,7 @@
   }
 
   async #startDomain (domain: number): Promise<void> {
-    const { entriesPerDomain, enginesPerDomain, plainServersPerDomain: plainPerDomain, adapterSlots, loadMs, workMs, events, eventMs } = this.options
+    const { entriesPerDomain, enginesPerDomain, plainServersPerDomain, adapterSlots, loadMs, workMs, events, eventMs } = this.options
     const name = `d${domain}`
     for (let each = 0; each < entriesPerDomain; each++) {
       this.entries.push({ name: `entry-${name}-${each}`, ip: this.#ip(domain, 10 + each), process: undefined, output: [] })
@@ -211,7 +211,7 @@
       this.register(server, ip, name)
       this.sides.push({ name: `side-${name}-${each}`, ip, process: undefined, output: [] })
     }
-    for (let each = 0; each < plainPerDomain; each++) {
+    for (let each = 0; each < plainServersPerDomain; each++) {
       const ip = this.#ip(domain, 200 + each)
       const server = new BackendStandIn({ id: `plain-${name}-${each}`, workMs, events, eventMs })
       await this.#listen(server, ip, ports.app)
--- a/packages/stand-ins/src/memory-engine.ts
+++ b/packages/stand-ins/src/memory-engine.ts
@@ -137,10 +137,10 @@
     }
   }
 
-  async generate (generation: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
-    const refusal = this.#rejection(generation.fence)
+  async generate (request: GenerationRequest): Promise<Result<EngineResponse, BackendError>> {
+    const refusal = this.#rejection(request.fence)
     if (refusal !== undefined) return err(refusal)
-    const { id, label, call, signal } = generation
+    const { id, label, call, signal } = request
     const boot = this.#boot
     const useCount = this.#loaded.get(label) ?? 0
     if (!this.#loaded.has(label) && !this.fallsBackToBaseModel) return err(backendError('not_loaded', label, boot))
@@ -149,7 +149,7 @@
     this.runs.push({ id, label: executedLabel, boot, prompt: promptOf(body) })
     this.events.emit('run', id)
     const block = createHash('sha256').update(promptOf(body)).digest('base64url')
-    this.events.emit('cache', { type: 'stored', boot, sequence: this.#cacheSequence++, salt: generation.salt, blocks: [block] })
+    this.events.emit('cache', { type: 'stored', boot, sequence: this.#cacheSequence++, salt: request.salt, blocks: [block] })
     if (executedLabel === label) this.#loaded.set(label, useCount + 1)
     this.#running += 1
     const tokens = this.#tokens(executedLabel, boot, body.max_tokens ?? defaultTokens, this.#startRequest(id, executedLabel, boot, signal))
--- a/packages/stand-ins/src/memory-store.ts
+++ b/packages/stand-ins/src/memory-store.ts
@@ -33,20 +33,20 @@
 
   async get (name: string): Promise<Result<StoredObject | undefined, StoreError>> {
     this.calls.reads += 1
-    const fault = await this.#delayOrFail()
-    return fault === undefined ? ok(structuredClone(this.#objects.get(name))) : err(fault)
+    const error = await this.#delayOrFail()
+    return error === undefined ? ok(structuredClone(this.#objects.get(name))) : err(error)
   }
 
   async list (prefix: string): Promise<Result<string[], StoreError>> {
     this.calls.reads += 1
-    const fault = await this.#delayOrFail()
-    return fault === undefined ? ok([...this.#objects.keys()].filter(name => name.startsWith(prefix)).sort()) : err(fault)
+    const error = await this.#delayOrFail()
+    return error === undefined ? ok([...this.#objects.keys()].filter(name => name.startsWith(prefix)).sort()) : err(error)
   }
 
   async put (name: string, value: unknown, version: ResourceVersion | 'absent'): Promise<Result<StoredObject, StoreError>> {
     this.calls.writes += 1
-    const fault = await this.#delayOrFail()
-    if (fault !== undefined) return err(fault)
+    const error = await this.#delayOrFail()
+    if (error !== undefined) return err(error)
     const current = this.#objects.get(name)
     if ((current?.version ?? 'absent') !== version) return err(storeError('conflict'))
     const object = this.#write(name, value)
@@ -56,8 +56,8 @@
 
   async remove (name: string, version: ResourceVersion): Promise<Result<void, StoreError>> {
     this.calls.writes += 1
-    const fault = await this.#delayOrFail()
-    if (fault !== undefined) return err(fault)
+    const error = await this.#delayOrFail()
+    if (error !== undefined) return err(error)
     const current = this.#objects.get(name)
     if (current === undefined) return ok(undefined)
     if (current.version !== version) return err(storeError('conflict'))
--- a/packages/stand-ins/src/platform-server.ts
+++ b/packages/stand-ins/src/platform-server.ts
@@ -12,17 +12,17 @@
 
 const toItem = ({ name, version, value }: StoredObject): unknown => ({ metadata: { name, resourceVersion: version }, spec: value })
 
-const faultStatuses = { unavailable: 503, ambiguous: 504, conflict: 409, too_old: 410, refused: 400 } as const
+const statusByErrorCode = { unavailable: 503, ambiguous: 504, conflict: 409, too_old: 410, refused: 400 } as const
 
 const toLine = (event: WatchEvent): unknown => {
   if (event.type === 'changed') return { type: 'MODIFIED', object: toItem(event.object) }
   if (event.type === 'deleted') return { type: 'DELETED', object: toItem({ name: event.name, version: event.version, value: null }) }
-  return { type: 'ERROR', object: { code: faultStatuses[event.fault.code] } }
+  return { type: 'ERROR', object: { code: statusByErrorCode[event.fault.code] } }
 }
 
-const sendResult = (response: ServerResponse, result: Result<StoredObject | undefined | void, { code: keyof typeof faultStatuses }>): void => {
+const sendResult = (response: ServerResponse, result: Result<StoredObject | undefined | void, { code: keyof typeof statusByErrorCode }>): void => {
   if (result.isErr() && result.error.code === 'ambiguous') response.destroy()
-  else if (result.isErr()) sendJson(response, faultStatuses[result.error.code], {})
+  else if (result.isErr()) sendJson(response, statusByErrorCode[result.error.code], {})
   else if (result.value === undefined) sendJson(response, 404, {})
   else sendJson(response, 200, toItem(result.value))
 }
--- a/packages/stand-ins/src/weight-store.ts
+++ b/packages/stand-ins/src/weight-store.ts
@@ -23,14 +23,14 @@
 
   /** Loads weights. Resolves to false if `source` is marked as broken. */
   async fetch (source: string): Promise<boolean> {
-    const { loadsPerSecond, maxFullSpeedLoads: fullSpeedPlaces, loadMs } = this.options
+    const { loadsPerSecond, maxFullSpeedLoads, loadMs } = this.options
     this.loads += 1
     const now = Date.now()
     const start = Math.max(now, this.#nextStartAt)
     this.#nextStartAt = start + 1000 / loadsPerSecond
     if (start > now) await pause(start - now)
     this.#concurrentLoads += 1
-    const slowdown = Math.max(1, this.#concurrentLoads / fullSpeedPlaces)
+    const slowdown = Math.max(1, this.#concurrentLoads / maxFullSpeedLoads)
     await pause(loadMs * slowdown)
     this.#concurrentLoads -= 1
     return !this.broken.has(source)
--- a/packages/store/src/catalog.ts
+++ b/packages/store/src/catalog.ts
@@ -55,7 +55,7 @@
   texts: Map<string, string>
 }
 
-/** The number of adapter shards: a power of two, since every change of the number redistributes all adapters. */
+/** The number of adapter shards: a power of two, so that it rarely changes; each change redistributes all adapters. */
 const shardCount = (adapters: number): number => {
   let count = 1
   while (count * adaptersPerShard < adapters) count *= 2
--- a/packages/store/test/apply.test.ts
+++ b/packages/store/test/apply.test.ts
@@ -3,7 +3,7 @@
 import { FakeTime, MemoryStore } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-const seeded = (): number => 0.5
+const fixedRandom = (): number => 0.5
 
 const configuration = (...teams: string[]): ReturnType<typeof validateConfiguration> extends { _unsafeUnwrap: () => infer C } ? C : never =>
   validateConfiguration({ teams: teams.map(name => ({ name, tokens: [] })) })._unsafeUnwrap()
@@ -16,7 +16,7 @@
   let time: FakeTime
 
   const applied = (base: number, ...teams: string[]): ReturnType<typeof applyConfiguration> =>
-    time.runUntilSettled(applyConfiguration(store, request(base, ...teams), seeded))
+    time.runUntilSettled(applyConfiguration(store, request(base, ...teams), fixedRandom))
 
   beforeEach(() => {
     store = new MemoryStore()
@@ -58,7 +58,7 @@
         const written = await put(name, value, version)
         if (name !== 'config/head' || intercepted) return written
         intercepted = true
-        await applyConfiguration(store, request(2, 'c'), seeded)
+        await applyConfiguration(store, request(2, 'c'), fixedRandom)
         store.responsesToLose = 1
         return await put('lost', 0, 'absent')
       }
--- a/packages/store/test/claims.test.ts
+++ b/packages/store/test/claims.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai'
 
 const id = claimId(TeamName.parse('fjordtavle'), RequestKey.parse('booking-1'))
-const seeded = (): number => 0.5
+const fixedRandom = (): number => 0.5
 
 const binding = (nonce: string): Binding => ({
   process: ProcessId.parse('side-1'),
@@ -17,7 +17,7 @@
 describe('claims', () => {
   let store: MemoryStore
   let time: FakeTime
-  const claims = (): Claims => new Claims({ store, random: seeded, bucketCount: 4, keptMs: 60_000 })
+  const claims = (): Claims => new Claims({ store, random: fixedRandom, bucketCount: 4, keptMs: 60_000 })
 
   beforeEach(() => {
     store = new MemoryStore()
@@ -33,7 +33,7 @@
   })
 
   it('batches concurrent claims into few updates', async () => {
-    const one = new Claims({ store, random: seeded, bucketCount: 1, keptMs: 60_000 })
+    const one = new Claims({ store, random: fixedRandom, bucketCount: 1, keptMs: 60_000 })
     const keys = Array.from({ length: 50 }, (_, index) => claimId(TeamName.parse('quetzal'), RequestKey.parse(`k${index}`)))
     await time.runUntilSettled(Promise.all(keys.map(key => one.bind(key, binding(key)))))
     expect(store.calls.writes).to.equal(2)
@@ -68,7 +68,7 @@
   })
 
   it('drops a claim only after its retention time', async () => {
-    const expiring = new Claims({ store, random: seeded, bucketCount: 4, keptMs: 0 })
+    const expiring = new Claims({ store, random: fixedRandom, bucketCount: 4, keptMs: 0 })
     await time.runUntilSettled(claims().bind(id, binding('a')))
     expect((await time.runUntilSettled(claims().bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('a')
     expect((await time.runUntilSettled(expiring.bind(id, binding('b'))))._unsafeUnwrap().nonce).to.equal('b')
--- a/packages/store/test/configuration-watch.test.ts
+++ b/packages/store/test/configuration-watch.test.ts
@@ -3,7 +3,7 @@
 import { FakeTime, MemoryStore } from '@finchpitch/stand-ins'
 import { expect } from 'chai'
 
-const seeded = (): number => 0.5
+const fixedRandom = (): number => 0.5
 
 describe('configuration watch', () => {
   let store: MemoryStore
@@ -14,7 +14,7 @@
 
   const change = async (): Promise<void> => {
     const configuration = validateConfiguration({ teams: [{ name: `team-${revision}`, tokens: [] }] })._unsafeUnwrap()
-    await time.runUntilSettled(applyConfiguration(store, { configuration, base: Revision.parse(revision), actor: 'ana', note: '' }, seeded))
+    await time.runUntilSettled(applyConfiguration(store, { configuration, base: Revision.parse(revision), actor: 'ana', note: '' }, fixedRandom))
     revision += 1
   }
 
@@ -25,7 +25,7 @@
     await change()
     catalog = new Catalog('all')
     stop = new AbortController()
-    void watchConfiguration({ store, catalog, log: silentLog, random: seeded, signal: stop.signal })
+    void watchConfiguration({ store, catalog, log: silentLog, random: fixedRandom, signal: stop.signal })
     await time.advance(100)
   })
 
@@ -77,9 +77,9 @@
     const time = new FakeTime()
     const store = new MemoryStore()
     try {
-      const first = (await time.runUntilSettled(acquireFencingToken(store, 'engine-1', seeded)))._unsafeUnwrap()
+      const first = (await time.runUntilSettled(acquireFencingToken(store, 'engine-1', fixedRandom)))._unsafeUnwrap()
       store.responsesToLose = 1
-      const [second, third] = await time.runUntilSettled(Promise.all([1, 2].map(() => acquireFencingToken(store, 'engine-1', seeded))))
+      const [second, third] = await time.runUntilSettled(Promise.all([1, 2].map(() => acquireFencingToken(store, 'engine-1', fixedRandom))))
       const numbers = [first, second?._unsafeUnwrap(), third?._unsafeUnwrap()]
       expect(new Set(numbers).size).to.equal(3)
       expect(numbers[1]).to.be.above(first)
