--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -8,7 +8,7 @@
 import { encodeFrame } from '@finchpitch/wire'
 import { publishReport, roundSignificant, type Row } from './report.js'
 import { BenchCluster, benchConfiguration } from './bench-cluster.js'
-import { readProcessUsage } from './sample.js'
+import { readProcessUsage } from './measure.js'
 
 const heartbeatsPerSecond = 0.5
 const idleMs = 12_000
--- a/packages/bench/src/claims.ts
+++ b/packages/bench/src/claims.ts
@@ -6,7 +6,7 @@
 import { Claims, claimId } from '@finchpitch/store'
 import { MemoryStore } from '@finchpitch/stand-ins'
 import { publishReport, roundSignificant, type Row } from './report.js'
-import { measureRepeated } from './sample.js'
+import { measureRepeated } from './measure.js'
 
 /** Latency of each store call, as of a platform that answers within milliseconds. */
 const storeLatencyMs = 3
--- a/packages/bench/src/path.ts
+++ b/packages/bench/src/path.ts
@@ -5,7 +5,7 @@
 import { Agent, request } from 'undici'
 import { publishReport, roundSignificant, type Row } from './report.js'
 import { BenchCluster, benchConfiguration, callerToken } from './bench-cluster.js'
-import { measureRepeated, readProcessUsage, type LatencyHistogram, type ProcessUsage } from './sample.js'
+import { measureRepeated, readProcessUsage, type LatencyHistogram, type ProcessUsage } from './measure.js'
 
 const warmUps = 200
 const requests = 600
--- a/packages/core/src/backoff.ts
+++ b/packages/core/src/backoff.ts
@@ -6,18 +6,18 @@
 /** Returns a number in [0, 1). Tests pass a seeded generator. */
 export type Random = () => number
 
-export interface BackoffSpan {
+export interface BackoffRange {
   firstMs: number
   limitMs: number
 }
 
 /** Starts at the duration of some ten store calls, which take milliseconds each, and stays below the time that callers wait. */
-const defaultBackoff: BackoffSpan = { firstMs: 50, limitMs: 2000 }
+const defaultBackoff: BackoffRange = { firstMs: 50, limitMs: 2000 }
 /** Bounds the exponent; every limit in use is reached with fewer doublings. */
 const maxDoublings = 16
 
 /** `doublings`: how often the initial delay is doubled. The result is random, between half and all of the doubled delay. */
-export const backoff = (doublings: number, random: Random = Math.random, { firstMs, limitMs }: BackoffSpan = defaultBackoff): number => {
+export const backoff = (doublings: number, random: Random = Math.random, { firstMs, limitMs }: BackoffRange = defaultBackoff): number => {
   const delayMs = Math.min(limitMs, firstMs * 2 ** Math.min(Math.max(0, doublings), maxDoublings))
   return delayMs * (0.5 + random() / 2)
 }
--- a/packages/daemon/src/entry/side-connection.ts
+++ b/packages/daemon/src/entry/side-connection.ts
@@ -17,7 +17,7 @@
   head: (head: Result<FrameOf<'head'>, Failure>) => void
 }
 
-export interface SideAnswer extends HttpResponse {
+export interface SideResponse extends HttpResponse {
   /** Whether the adapter was already loaded when the request arrived; always true for a plain service. */
   resident: boolean
 }
@@ -90,7 +90,7 @@
   }
 
   /** Sends a request and waits for the response head or a failure. `not_sent` is decided locally and says nothing about the peer. */
-  async run (work: Work, signal: AbortSignal): Promise<Result<SideAnswer, Failure>> {
+  async run (work: Work, signal: AbortSignal): Promise<Result<SideResponse, Failure>> {
     if (signal.aborted) return err(notRun('not_sent', { detail: 'The caller no longer waits.' }))
     const id = this.#nextId++
     this.#lastUsedAt = Date.now()
--- a/packages/daemon/src/side/idempotency-records.ts
+++ b/packages/daemon/src/side/idempotency-records.ts
@@ -12,21 +12,21 @@
 import { createHash } from 'node:crypto'
 import { notRun, outcomeUnknown, type HttpResponse, type Failure, type Incarnation, type Work } from '@finchpitch/core'
 import { err, ok, type Result } from 'neverthrow'
-import { KeptAnswer } from './kept-answer.js'
+import { KeptResponse } from './kept-response.js'
 
 export interface IdempotencyRecordsOptions {
   incarnation: Incarnation
   /** Keys remembered in one epoch. Requests with further keys are not run, and get the outcome `unknown` with `keys_full`. */
   maxKeys: number
   /** A longer response is streamed to the first caller only and not kept. */
-  maxAnswerBytes: number
+  maxResponseBytes: number
   /** Total bytes of all kept responses; the oldest are discarded first. */
   maxKeptBytes: number
 }
 
 export const defaultIdempotencyLimits = {
   maxKeys: 100_000,
-  maxAnswerBytes: 1024 * 1024,
+  maxResponseBytes: 1024 * 1024,
   maxKeptBytes: 64 * 1024 * 1024
 }
 
@@ -37,8 +37,8 @@
 
 interface ExecutionRecord {
   fingerprint: string
-  response: Promise<Result<KeptAnswer, Failure>>
-  kept: KeptAnswer | undefined
+  response: Promise<Result<KeptResponse, Failure>>
+  kept: KeptResponse | undefined
 }
 
 const fingerprintOf = ({ call, target }: Work): string =>
@@ -48,7 +48,7 @@
   #epoch = 0
   #current = new Map<string, ExecutionRecord>()
   #previous = new Map<string, ExecutionRecord>()
-  readonly #keptAnswers = new Set<KeptAnswer>()
+  readonly #keptAnswers = new Set<KeptResponse>()
   #keptBytes = 0
 
   constructor (private readonly options: IdempotencyRecordsOptions) {}
@@ -107,7 +107,7 @@
     return record
   }
 
-  async #execute (start: StartExecution): Promise<Result<KeptAnswer, Failure>> {
+  async #execute (start: StartExecution): Promise<Result<KeptResponse, Failure>> {
     try {
       const result = await start()
       return result.map(response => this.#keep(response))
@@ -116,8 +116,8 @@
     }
   }
 
-  #keep (response: HttpResponse): KeptAnswer {
-    const kept = new KeptAnswer(response, this.options.maxAnswerBytes, bytes => this.#charge(bytes))
+  #keep (response: HttpResponse): KeptResponse {
+    const kept = new KeptResponse(response, this.options.maxResponseBytes, bytes => this.#charge(bytes))
     this.#keptAnswers.add(kept)
     return kept
   }
@@ -131,8 +131,8 @@
   }
 
   /** Discards the bytes of a response that has ended; one still being read from the backend server stays. */
-  #discard (kept: KeptAnswer | undefined): void {
-    if (kept?.isComplete !== true || !this.#keptAnswers.delete(kept)) return
+  #discard (kept: KeptResponse | undefined): void {
+    if (kept?.isFinished !== true || !this.#keptAnswers.delete(kept)) return
     this.#keptBytes -= kept.discard()
   }
 }
--- a/packages/daemon/src/side/kept-answer.ts
+++ b/packages/daemon/src/side/kept-response.ts
@@ -7,7 +7,7 @@
  */
 import { ResponseError, outcomeUnknown, type HttpResponse, type ResponseHead, type Failure } from '@finchpitch/core'
 
-export class KeptAnswer {
+export class KeptResponse {
   readonly head: ResponseHead
   #chunks: Uint8Array[] = []
   #bytes = 0
@@ -24,7 +24,7 @@
     void this.#readAll(response.body)
   }
 
-  get isComplete (): boolean {
+  get isFinished (): boolean {
     return this.#finished
   }
 
--- a/packages/daemon/src/side/exchange.ts
+++ b/packages/daemon/src/side/response-sender.ts
@@ -8,17 +8,17 @@
 /** Larger parts of a body are split, to keep every frame far below the frame limit. */
 const maxChunkBytes = 64 * 1024
 
-export interface ExchangeOptions {
+export interface ResponseSenderOptions {
   id: number
   channel: Channel
   load: () => LoadReport
 }
 
-export class Exchange {
+export class ResponseSender {
   readonly window = new SendWindow()
   readonly #abort = new AbortController()
 
-  constructor (private readonly options: ExchangeOptions) {}
+  constructor (private readonly options: ResponseSenderOptions) {}
 
   get signal (): AbortSignal {
     return this.#abort.signal
--- a/packages/daemon/src/side/side-process.ts
+++ b/packages/daemon/src/side/side-process.ts
@@ -10,7 +10,7 @@
 import { Channel, protocolVersion, type FrameOf, type LoadReport } from '@finchpitch/wire'
 import { err, type Result } from 'neverthrow'
 import { CatalogExchange } from '../catalog-exchange.js'
-import { Exchange } from './exchange.js'
+import { ResponseSender } from './response-sender.js'
 import { IdempotencyRecords, defaultIdempotencyLimits } from './idempotency-records.js'
 import type { Runner } from './runner.js'
 
@@ -61,7 +61,7 @@
   async accept (stream: Duplex): Promise<void> {
     const { catalog, log } = this.options
     const channel = new Channel(stream, { hello: () => this.#hello(), heartbeat: () => this.#heartbeat() })
-    const senders = new Map<number, Exchange>()
+    const senders = new Map<number, ResponseSender>()
     const catalogExchange = new CatalogExchange(catalog, channel)
     let lastId = -1
     this.#channels.add(channel)
@@ -115,8 +115,8 @@
     }
   }
 
-  #startRequest ({ id, work }: FrameOf<'run'>, channel: Channel, senders: Map<number, Exchange>, catalogExchange: CatalogExchange): void {
-    const sender = new Exchange({ id, channel, load: () => this.load })
+  #startRequest ({ id, work }: FrameOf<'run'>, channel: Channel, senders: Map<number, ResponseSender>, catalogExchange: CatalogExchange): void {
+    const sender = new ResponseSender({ id, channel, load: () => this.load })
     senders.set(id, sender)
     const task = this.#serve(work, sender, catalogExchange).finally(() => {
       senders.delete(id)
@@ -125,7 +125,7 @@
     this.#tasks.add(task)
   }
 
-  async #serve (work: Work, sender: Exchange, catalogExchange: CatalogExchange): Promise<void> {
+  async #serve (work: Work, sender: ResponseSender, catalogExchange: CatalogExchange): Promise<void> {
     const resident = this.options.runner.resident(work)
     const response = await this.#respond(work, sender.signal, catalogExchange)
     if (response.isErr()) this.options.log.debug('work.failed', { request: work.id, team: work.team, code: response.error.code, outcome: response.error.outcome })
--- a/packages/daemon/test/idempotency-records.test.ts
+++ b/packages/daemon/test/idempotency-records.test.ts
@@ -101,7 +101,7 @@
     })
 
     it('stream a long response completely to its first reader and keep it for no other', async () => {
-      records = new IdempotencyRecords({ incarnation, ...defaultIdempotencyLimits, maxAnswerBytes: 10 })
+      records = new IdempotencyRecords({ incarnation, ...defaultIdempotencyLimits, maxResponseBytes: 10 })
       const long = async (): Promise<Result<HttpResponse, Failure>> => ok(response('12345678', '12345678', '12345678', 'end'))
       expect(await read(await records.run(work(), once('n'), long))).to.equal('123456781234567812345678end')
       expect(await read(await records.run(work(), once('n'), long))).to.equal('unknown answer_expired')
--- a/packages/decisions/test/replay/crash-replay.test.ts
+++ b/packages/decisions/test/replay/crash-simulation.test.ts
@@ -1,6 +1,6 @@
 import { quarantineLimits, type QuarantineLimits } from '@finchpitch/decisions'
 import { expect } from 'chai'
-import { CrashReplay, type CrashCounts, type CrashPattern } from './crash-replay.js'
+import { CrashSimulation, type CrashCounts, type CrashPattern } from './crash-simulation.js'
 
 /** Three seeds suffice to tell the policies apart; the figures in the comment on the default limits are means of ten. */
 const seeds = 3
@@ -10,7 +10,7 @@
 const simulatedMean = (limits: QuarantineLimits, pattern: CrashPattern): CrashCounts => {
   const sum: CrashCounts = { lost: 0, refused: 0, crashes: 0 }
   for (let seed = 1; seed <= seeds; seed++) {
-    const { lost, refused, crashes } = new CrashReplay(limits, pattern, seed).simulate()
+    const { lost, refused, crashes } = new CrashSimulation(limits, pattern, seed).run()
     sum.lost += lost / seeds
     sum.refused += refused / seeds
     sum.crashes += crashes / seeds
--- a/packages/decisions/test/replay/crash-replay.ts
+++ b/packages/decisions/test/replay/crash-simulation.ts
@@ -45,7 +45,7 @@
 interface Request { fingerprint: RequestFingerprint, retriesLeft: number, fatal: boolean }
 interface Attempt { ask: Request, sentAt: number }
 
-export class CrashReplay {
+export class CrashSimulation {
   readonly counts: CrashCounts = { lost: 0, refused: 0, crashes: 0 }
   readonly #history: CrashHistory
   readonly #random
@@ -59,7 +59,7 @@
     this.#engines = Array.from({ length: engineCount }, () => ({ attempts: new Set<Attempt>(), availableAt: 0, incarnation: 0 }))
   }
 
-  simulate (): CrashCounts {
+  run (): CrashCounts {
     const { fatalIntervalMs, crashIntervalMs, simultaneousCrashes = 1 } = this.pattern
     for (let at = 0, index = 0; at < durationMs; at += arrivalMs, index++) this.#schedule(at, () => this.#arrive(index))
     if (fatalIntervalMs !== undefined) for (let at = 5000; at < durationMs; at += fatalIntervalMs) this.#schedule(at, () => this.#send({ fingerprint: fingerprintOf('fatal'), retriesLeft: 1, fatal: true }))
--- a/packages/fleet/src/entry/balancer.ts
+++ b/packages/fleet/src/entry/balancer.ts
@@ -50,7 +50,7 @@
   /** Prompt length in tokens. */
   promptTokens: number
   /** Time left until the first token misses its objective. */
-  inTimeMs: number
+  timeToObjectiveMs: number
   priority: number
   /** Servers that have already refused this request. */
   excluded: ReadonlySet<string>
@@ -194,7 +194,7 @@
     const ids = this.states.holders.of(key)
     if (ids.size > 0 && ids.size < servers.length) {
       const choice = chooseEngine(this.#engineSelection(servers.filter(server => ids.has(server.id)), key, selection))
-      if (choice.type === 'send' && choice.expectedMs < selection.inTimeMs) return choice
+      if (choice.type === 'send' && choice.expectedMs < selection.timeToObjectiveMs) return choice
     }
     return chooseEngine(this.#engineSelection(servers, key, selection))
   }
@@ -237,7 +237,7 @@
     const oldestVersion = this.#oldestUsableVersion(key, now)
     const avoidLimited = !this.serverLimits.isEmpty && servers.some(server => this.serverLimits.state(server) === undefined)
     const candidates = servers.map(server => this.#engineCandidate(server, key, selection, { now, oldestVersion, avoidLimited }))
-    return { candidates, domain: this.domain, key, inTimeMs: selection.inTimeMs }
+    return { candidates, domain: this.domain, key, timeToObjectiveMs: selection.timeToObjectiveMs }
   }
 
   /** The oldest version of the key that may be used. */
--- a/packages/fleet/src/entry/caller-response.ts
+++ b/packages/fleet/src/entry/caller-response.ts
@@ -63,7 +63,7 @@
 
   /** Sends a response that the entry generates itself. Aborts the response if one is already under way. */
   sendLocalReply (status: number, headers: Record<string, string>, message: string): void {
-    if (this.#started || this.response.headersSent) return this.cut()
+    if (this.#started || this.response.headersSent) return this.abort()
     const body = Buffer.from(JSON.stringify({ error: message }))
     const flatHeaders = Object.entries({ 'Content-Type': 'application/json', 'Content-Length': String(body.length), ...headers }).flat()
     this.#writeHead(status, flatHeaders, true)
@@ -88,7 +88,7 @@
   }
 
   /** Aborts the response by closing the connection, so that a partial response can't be taken for a complete one. */
-  cut (): void {
+  abort (): void {
     this.response.destroy()
   }
 
--- a/packages/fleet/src/entry/choice.ts
+++ b/packages/fleet/src/entry/choice.ts
@@ -93,7 +93,7 @@
   /** Adapter or model key. */
   key: string
   /** Time left until the first token misses its objective. */
-  inTimeMs: number
+  timeToObjectiveMs: number
 }
 
 /** Time until a request can use an adapter that is loaded from the weight store, or from the engine's own memory. */
@@ -145,14 +145,14 @@
  * Otherwise an adapter with more prompts than one engine can prefill would stay on one engine until its batch is full.
  */
 const sendOrReplicate = (best: EngineCandidate, busy: boolean, choice: EngineSelection): Choice => {
-  const { domain, inTimeMs, candidates } = choice
+  const { domain, timeToObjectiveMs, candidates } = choice
   const { id, expectedMs } = best
   const reason = busy ? 'held, busy' : best.domain === domain ? 'held near' : 'held across'
   const send: Choice = { type: 'send', id, reason, expectedMs }
-  if (expectedMs < inTimeMs || candidates.some(candidate => candidate.coming && !candidate.unhealthy)) return send
+  if (expectedMs < timeToObjectiveMs || candidates.some(candidate => candidate.coming && !candidate.unhealthy)) return send
   const other = loadTarget(choice)
   const otherMs = other === undefined ? Infinity : firstTokenAfterLoadMs(other)
-  if (otherMs > inTimeMs || otherMs + coldLoadPenaltyMs > expectedMs) return send
+  if (otherMs > timeToObjectiveMs || otherMs + coldLoadPenaltyMs > expectedMs) return send
   return { type: 'bring', ask: other?.id, held: true, reason: 'its holders are slow' }
 }
 
--- a/packages/fleet/src/entry/request-crashes.ts
+++ b/packages/fleet/src/entry/request-crashes.ts
@@ -42,7 +42,7 @@
   }
 
   /** The request ran to completion, so it doesn't crash servers. */
-  completed (team: FleetTeam | undefined): void {
+  recordCompletion (team: FleetTeam | undefined): void {
     if (!this.crashes.isEmpty) this.crashes.recordCompletion(this.#fingerprint(team))
   }
 
--- a/packages/fleet/src/entry/server-faults.ts
+++ b/packages/fleet/src/entry/server-faults.ts
@@ -25,18 +25,18 @@
   constructor (private readonly balancer: Balancer, private readonly counters: EntryCounters, private readonly log: Log) {}
 
   /** The server ran the request, or may have, and failed. */
-  failed (server: BackendServer, request: string, detail: string): void {
+  recordFailure (server: BackendServer, request: string, detail: string): void {
     this.log.info('server.failed', { request, server: server.id, detail })
     if (this.balancer.state(server).outlier.recordFailure(nowMs())) this.#recordEjection('server.ejected', server, request, detail)
   }
 
   /** No connection to the server could be established. */
-  unreachable (server: BackendServer, request: string, detail: string): void {
+  recordUnreachable (server: BackendServer, request: string, detail: string): void {
     if (this.balancer.state(server).outlier.eject(nowMs())) this.#recordEjection('server.unreachable', server, request, detail)
   }
 
   /** The server refused the request. Returns whether this request should avoid the server from now on. */
-  refused ({ request, server, status, cause, key, tries, retryAfter }: Refusal): boolean {
+  recordRefusal ({ request, server, status, cause, key, tries, retryAfter }: Refusal): boolean {
     this.log.info('request.not_run', { request, server: server.id, status, cause, key, tries, retryAfter })
     return this.#refusalHandlers[cause](server, key)
   }
--- a/packages/fleet/src/entry/server-selector.ts
+++ b/packages/fleet/src/entry/server-selector.ts
@@ -95,7 +95,7 @@
       rank,
       expiresAt: first.type === 'none' ? times.waitForServersUntil(route) : times.waitUntil(route),
       mayWaitFor: choice => this.#mayWaitFor(choice, route),
-      choose: () => balancer.choose({ ...selection, inTimeMs: times.timeToObjectiveMs(route) }),
+      choose: () => balancer.choose({ ...selection, timeToObjectiveMs: times.timeToObjectiveMs(route) }),
       isQuarantined: () => crashes.quarantine(admitted.team) !== undefined,
       requestLoad: (ask, waiting) => balancer.requestLoad(ask, selection.key ?? '', waiting, rank())
     }, first, cancellation)
--- a/packages/fleet/src/entry/service-request.ts
+++ b/packages/fleet/src/entry/service-request.ts
@@ -214,7 +214,7 @@
   #selectionFor (service: FleetService, { route, priority }: Admission): SelectionRequest {
     const { model, promptTokens } = this.#incoming
     const key = service.engine === undefined ? undefined : model
-    return { service, key, promptTokens, inTimeMs: this.#times.timeToObjectiveMs(route), priority, excluded: this.#excluded }
+    return { service, key, promptTokens, timeToObjectiveMs: this.#times.timeToObjectiveMs(route), priority, excluded: this.#excluded }
   }
 
   #onDeadline (): void {
@@ -305,16 +305,16 @@
   static readonly #resultHandlers: { [Type in AttemptResult['type']]: (self: ServiceRequest, result: Extract<AttemptResult, { type: Type }>, finished: FinishedAttempt) => Verdict } = {
     streamed: (self, _result, { server, admitted }) => {
       self.options.balancer.state(server).outlier.recordSuccess()
-      self.#crashes.completed(admitted.team)
+      self.#crashes.recordCompletion(admitted.team)
       self.#callerResponse.finish()
       return done('streamed')
     },
     answer: (self, { status, headers, body }, finished) => {
       const failed = status >= firstServerErrorStatus
-      if (failed) self.options.faults.failed(finished.server, self.#incoming.id, `status ${status}`)
+      if (failed) self.options.faults.recordFailure(finished.server, self.#incoming.id, `status ${status}`)
       else self.options.balancer.state(finished.server).outlier.recordSuccess()
       self.#possibleRuns += 1
-      self.#crashes.completed(finished.admitted.team)
+      self.#crashes.recordCompletion(finished.admitted.team)
       if (failed && self.#mayRunAgain(finished)) {
         self.#mayHaveRun = true
         return retry
@@ -323,14 +323,14 @@
       return done(`answered ${status}`)
     },
     not_sent: (self, { detail }, { server, selection }) => {
-      self.options.faults.unreachable(server, self.#incoming.id, detail)
+      self.options.faults.recordUnreachable(server, self.#incoming.id, detail)
       self.#excluded.add(server.id)
       return self.#retryElsewhere('not_sent', selection)
     },
     withheld: (self, _result, { selection }) => self.#retryElsewhere('withheld', selection),
     not_run: (self, { status, cause, retryAfter }, { server, selection }) => {
       const { key } = selection
-      if (self.options.faults.refused({ request: self.#incoming.id, server, status, cause, key, tries: self.#record.tries, retryAfter })) self.#excluded.add(server.id)
+      if (self.options.faults.recordRefusal({ request: self.#incoming.id, server, status, cause, key, tries: self.#record.tries, retryAfter })) self.#excluded.add(server.id)
       // A backoff that a server asked for is passed on to callers only if all servers ask for one.
       if (status !== overloadedStatus) self.#localReplies.raiseRetryAfter(secondsOf(retryAfter) * 1000)
       return self.#retryElsewhere('refused', selection)
@@ -343,14 +343,14 @@
     interrupted: (self, { detail }, finished) => {
       self.#recordBroken(finished, detail)
       if (!self.#cancellation.cancelled && self.#mayRunAgain(finished)) return retry
-      self.#callerResponse.cut()
+      self.#callerResponse.abort()
       return done('interrupted')
     }
   }
 
   /** The attempt failed after the request was sent. */
   #recordBroken ({ server, admitted, sentAt }: FinishedAttempt, detail: string): void {
-    this.options.faults.failed(server, this.#incoming.id, detail)
+    this.options.faults.recordFailure(server, this.#incoming.id, detail)
     this.#crashes.brokeOff(server, sentAt, admitted.team)
     this.#mayHaveRun = true
     this.#possibleRuns += 1
@@ -383,7 +383,7 @@
   #endCancelled (sent: boolean): string {
     if (!this.#deadlinePassed) return 'caller_left'
     if (this.#callerResponse.started) {
-      this.#callerResponse.cut()
+      this.#callerResponse.abort()
       return 'timed_out'
     }
     return sent || this.#mayHaveRun ? this.#localReplies.fail(504, 'timed_out') : this.#localReplies.refuse('timed_out')
--- a/packages/fleet/src/entry/side-link.ts
+++ b/packages/fleet/src/entry/side-link.ts
@@ -279,7 +279,7 @@
 
   get #factDelayMs (): number {
     if (!this.isLocal) return forwardDelayMs.remoteSide
-    return this.options.watching() ? forwardDelayMs.dependent : forwardDelayMs.resting
+    return this.options.watching() ? forwardDelayMs.dependent : forwardDelayMs.nonWatcher
   }
 
   #sendSubscriptions (channel: Channel): void {
--- a/packages/fleet/src/fact-exchange.ts
+++ b/packages/fleet/src/fact-exchange.ts
@@ -21,7 +21,7 @@
   /** Entries: in small fleets a watch pauses for up to 0.7 s, and a heartbeat follows within 1 s. */
   entry: 1500,
   /** From an entry that does not watch the store to the side processes of its domain, which report what they have every 1.8 s. */
-  resting: 2500,
+  nonWatcher: 2500,
   /** From an entry to side processes of other domains: they learn it from the entries there, and report it within two heartbeats. */
   remoteSide: 3000
 }
--- a/packages/fleet/test/choice.test.ts
+++ b/packages/fleet/test/choice.test.ts
@@ -8,7 +8,7 @@
 const plain = (id: string, domain: string, more: Partial<ServerCandidate> = {}): ServerCandidate =>
   ({ id, hash: hashOf(id), domain, load: 0, slots: 6, unhealthy: false, fallback: false, ...more })
 const engine = (candidates: EngineCandidate[], domain = 'a'): ReturnType<typeof chooseEngine> =>
-  chooseEngine({ candidates, domain, key: 'm/x', inTimeMs: 600 })
+  chooseEngine({ candidates, domain, key: 'm/x', timeToObjectiveMs: 600 })
 
 describe('server selection', () => {
   describe('among plain servers', () => {
--- a/packages/fleet/test/placement.test.ts
+++ b/packages/fleet/test/placement.test.ts
@@ -65,7 +65,7 @@
     })
 
     it('waits a moment for a free slot before it declines', () => {
-      const full = { account: stateWith({ a: 1, b: 1, c: 1 }), uses: () => 1 }
+      const full = { status: stateWith({ a: 1, b: 1, c: 1 }), uses: () => 1 }
       expect(decidePlacement(inputWith({ ...full, demands: [{ ...demand('m/x'), waitedMs: 0 }] })).type).to.equal('nothing')
       expect(decidePlacement(inputWith({ ...full, demands: [{ ...demand('m/x'), waitedMs: 0 }, demand('m/y')] }))).to.include({ type: 'declined', key: 'm/y' })
     })
--- a/packages/fleet/test/replay/load-simulation.test.ts
+++ b/packages/fleet/test/replay/load-simulation.test.ts
@@ -4,7 +4,7 @@
 
 const short = { name: 'short', perSecond: 60, tokens: { least: 300, most: 1500 }, objectiveMs: 600, deadlineMs: 5000, priority: 1, runMs: 450 }
 const long = { name: 'long', perSecond: 4, tokens: { least: 5000, most: 16_000 }, objectiveMs: 800, deadlineMs: 5000, priority: 1, runMs: 450 }
-const eightEngines = { seconds: 10, engines: 8, slots: 12, places: 9, adapters: 3000, entries: 8, kinds: [short, long] }
+const eightEngines = { seconds: 10, engines: 8, slots: 12, adapterSlots: 9, adapters: 3000, entries: 8, kinds: [short, long] }
 
 /** Adapter slots run out. */
 const burst = { ...eightEngines, burst: 2.2 }
@@ -29,7 +29,7 @@
   })
 
   it('counts exactly one outcome per request', () => {
-    for (const { asked, inTime, late, refused } of new LoadSimulation({ ...burst, seconds: 3, seed: 1 }, productionPolicy).run().values()) {
+    for (const { requests: asked, inTime, late, refused } of new LoadSimulation({ ...burst, seconds: 3, seed: 1 }, productionPolicy).run().values()) {
       expect(inTime + late + refused).to.equal(asked)
     }
   })
--- a/packages/fleet/test/replay/load-simulation.ts
+++ b/packages/fleet/test/replay/load-simulation.ts
@@ -28,7 +28,7 @@
   seconds: number
   engines: number
   slots: number
-  places: number
+  adapterSlots: number
   adapters: number
   entries: number
   kinds: readonly RequestKind[]
@@ -58,7 +58,7 @@
 export const productionPolicy: Policy = { choose: chooseEngine, rank: rankOf }
 
 export interface Outcome {
-  asked: number
+  requests: number
   inTime: number
   late: number
   refused: number
@@ -125,7 +125,7 @@
   tokens: number
 }
 
-const noOutcomes = (): Outcome => ({ asked: 0, inTime: 0, late: 0, refused: 0 })
+const noOutcomes = (): Outcome => ({ requests: 0, inTime: 0, late: 0, refused: 0 })
 
 const range = (count: number): number[] => Array.from({ length: count }, (_, index) => index)
 
@@ -175,7 +175,7 @@
         const tokens = Math.round(kind.tokens.least + (kind.tokens.most - kind.tokens.least) * this.#draw() ** lengthSkew)
         const key = `m/a${Math.floor(adapters * this.#draw() ** popularitySkew)}`
         this.#waiting.add({ kind, key, tokens, arrived: this.#now, entry: Math.floor(this.#draw() * entries), unread: tokens, sentAt: 0, sentRank: 0 })
-        this.#outcome(kind).asked += 1
+        this.#outcome(kind).requests += 1
       }
     }
   }
@@ -211,7 +211,7 @@
     while (engine.loadQueue.length > 0 && engine.coming.size < maxConcurrentLoads) {
       const key = engine.loadQueue[0] ?? ''
       if (!engine.held.has(key) && !engine.coming.has(key)) {
-        if (engine.held.size + engine.coming.size >= this.pattern.places && !this.#evict(engine)) return
+        if (engine.held.size + engine.coming.size >= this.pattern.adapterSlots && !this.#evict(engine)) return
         engine.coming.set(key, this.#now + (engine.warm.has(key) ? warmLoadMs : coldLoadMs))
       }
       engine.loadQueue.shift()
@@ -277,7 +277,7 @@
   #selectionOf (request: SimulatedRequest): EngineSelection {
     const { kind, key, arrived } = request
     const left = kind.objectiveMs - (this.#now - arrived)
-    return { candidates: this.#engines.map((engine, index) => this.#candidateOf(engine, index, request)), domain: 'd', key, inTimeMs: left > 0 ? left : Infinity }
+    return { candidates: this.#engines.map((engine, index) => this.#candidateOf(engine, index, request)), domain: 'd', key, timeToObjectiveMs: left > 0 ? left : Infinity }
   }
 
   #candidateOf (engine: Engine, index: number, { key, tokens, entry }: SimulatedRequest): EngineCandidate {
@@ -305,5 +305,5 @@
 /** Share of the requests that met their objective, over all kinds or one. */
 export const shareInTime = (outcomes: ReadonlyMap<string, Outcome>, name?: string): number => {
   const chosen = [...outcomes].filter(([kind]) => name === undefined || kind === name).map(([, outcome]) => outcome)
-  return chosen.reduce((sum, { inTime }) => sum + inTime, 0) / chosen.reduce((sum, { asked }) => sum + asked, 0)
+  return chosen.reduce((sum, { inTime }) => sum + inTime, 0) / chosen.reduce((sum, { requests: asked }) => sum + asked, 0)
 }
--- a/packages/fleet/test/replay/probe-simulation.ts
+++ b/packages/fleet/test/replay/probe-simulation.ts
@@ -87,7 +87,7 @@
       if (this.fatal) this.crashTimes.push(nowMs())
       if (simulated.isolated) return
       if (this.fatal) request.brokeOff(server, sentAt, undefined)
-      else request.completed(undefined)
+      else request.recordCompletion(undefined)
     }, runMs)
   }
 
--- a/packages/proofs/src/matrix/faults.ts
+++ b/packages/proofs/src/matrix/faults.ts
@@ -56,8 +56,8 @@
     end: async cluster => { cluster.network.duplicateFrames = false }
   },
   'frame truncated': {
-    inject: cluster => { cluster.network.truncateNextAnswer = true },
-    end: async cluster => { cluster.network.truncateNextAnswer = false }
+    inject: cluster => { cluster.network.truncateNextResponse = true },
+    end: async cluster => { cluster.network.truncateNextResponse = false }
   },
   'backend answer lost': {
     inject: cluster => {
--- a/packages/proofs/src/matrix/network.ts
+++ b/packages/proofs/src/matrix/network.ts
@@ -21,7 +21,7 @@
   /** Delivers each frame that carries a request or a part of its answer twice. */
   duplicateFrames = false
   /** Delivers only the first half of the next frame of an answer, then closes the connection. Resets itself. */
-  truncateNextAnswer = false
+  truncateNextResponse = false
   /** Called for each frame before it is sent. */
   onFrame: (type: FrameType, from: string, to: string) => void = () => {}
   readonly #listeners = new Map<Address, Listener>()
@@ -110,8 +110,8 @@
     const to = fromClient ? this.server : this.client
     const type = new FrameDecoder().read(bytes)._unsafeUnwrap()[0]?.type ?? 'hello'
     this.network.onFrame(type, fromClient ? this.from : this.to, fromClient ? this.to : this.from)
-    if (this.network.truncateNextAnswer && responseTypes.has(type)) {
-      this.network.truncateNextAnswer = false
+    if (this.network.truncateNextResponse && responseTypes.has(type)) {
+      this.network.truncateNextResponse = false
       to.receive(bytes.subarray(0, Math.ceil(bytes.length / 2)))
       setTimeout(() => this.cut(), 1)
       return
