--- a/packages/proofs/model/claims.pml
+++ b/packages/proofs/model/claims.pml
@@ -1,40 +1,40 @@
 /*
- * Claims: at most once, and "not run" only where it is proved.
+ * Claims: a request runs at most once, and "not run" is reported only if that is proved.
  *
- * One key, two tries through two entries, two side processes. Every step of a try and of a run is its own, so any
- * process may be paused between any two. Faults are bounded by FAULTS: a side process dies, a write's answer is
- * lost (whether or not it took effect), the store is down for a call, an answer to an entry is lost, a backend
- * server's answer is lost.
+ * Two attempts with the same idempotency key arrive through two entries, and there are two side processes. Each step of
+ * an attempt or a run is a separate transition, so any process may be paused between any two steps. FAULTS bounds the
+ * number of faults: a side process crashes, the response to a write is lost (whether or not the write took effect), the
+ * store is unavailable for one call, a response to an entry is lost, or a response of a backend server is lost.
  *
- *   Try: read, cas        Claims.bind            platform/src/claims.ts
- *   Try: rebind           Claims.rebind          platform/src/claims.ts
- *   Try: ask              Dispatch.#ask          daemon/src/entry/dispatch.ts
- *   Try: confirm          Dispatch.#confirm      daemon/src/entry/dispatch.ts
- *   Run                   Executions.run         daemon/src/side/executions.ts
+ *   Try: read, cas        Claims.bind                   store/src/claims.ts
+ *   Try: rebind           Claims.rebind                 store/src/claims.ts
+ *   Try: ask              Dispatcher.#runBound          daemon/src/entry/dispatcher.ts
+ *   Try: confirm          Dispatcher.#confirmRefusal    daemon/src/entry/dispatcher.ts
+ *   Run                   IdempotencyRecords.run        daemon/src/side/idempotency-records.ts
  *
- * Not here: epochs, and the caller's word that a try is its first.
+ * Not modelled: epochs, and the caller's statement that an attempt is its first.
  */
 #ifndef FAULTS
 #define FAULTS 1
 #endif
 #define SIDES 2
 #define TRIES 2
-#define NONCES 5          /* 0 is "no claim"; each try may bind twice */
+#define NONCES 5          /* 0 means "no claim"; an attempt binds at most twice */
 
 mtype = { fresh, running, refused, done, doubtful }
 mtype = { silent, ran, not_run, unknown }
 
-byte claim = 0;           /* the nonce in the store */
-byte side_of[NONCES];     /* which side process a nonce is bound to */
+byte claim = 0;           /* nonce of the claim in the store */
+byte side_of[NONCES];     /* the side process that each nonce is bound to */
 mtype record[NONCES] = fresh;
 bool alive[SIDES] = true;
 byte executions = 0;
 byte faults = FAULTS;
 mtype told[TRIES] = silent;
-byte runs = 0;            /* Run processes at work */
+byte runs = 0;            /* number of active Run processes */
 byte ended = 0;
 mtype reply[TRIES] = silent;
-byte asked[TRIES];       /* the binding that a try waits for an answer from */
+byte asked[TRIES];       /* the binding whose response an attempt waits for */
 
 proctype Run(byte n; byte t) {
   byte s = side_of[n];
@@ -58,7 +58,7 @@
   :: atomic { alive[s] -> skip }
   :: atomic { !alive[s] -> goto tell }
   fi;
-  atomic {                /* sent, so it runs, also if the sender is gone by now */
+  atomic {                /* already sent, so it runs even if the side process has crashed */
     executions++;
     assert(executions <= 1)
   }
@@ -70,7 +70,7 @@
 join:
   atomic { record[n] != running || !alive[s] -> goto tell };
 tell:
-  atomic {                /* heard only by the exchange that waits for it */
+  atomic {                /* delivered only if the attempt still waits for this binding */
     if
     :: asked[t] != n -> skip
     :: else ->
@@ -86,14 +86,14 @@
 }
 
 proctype Try(byte me) {
-  byte n = 2 * me + 1;    /* the nonce that this try would bind */
-  byte at;                /* the binding that it asks */
+  byte n = 2 * me + 1;    /* the nonce for the next binding of this attempt */
+  byte at;                /* the binding that the request is sent to */
   byte old;
   byte asks = 0;
   bool rebound = false;
 read:
   if
-  :: atomic { faults > 0 -> faults--; told[me] = unknown; goto out }      /* the store is down */
+  :: atomic { faults > 0 -> faults--; told[me] = unknown; goto out }      /* the store is unavailable */
   :: atomic { claim != 0 -> at = claim; goto ask }
   :: atomic { claim == 0 -> skip }
   fi;
@@ -105,7 +105,7 @@
   :: atomic { claim != 0 -> goto read }
 #endif
 #ifdef NO_READBACK
-  :: atomic { faults > 0 -> faults--; at = n; goto ask }                  /* lost without effect, taken for success */
+  :: atomic { faults > 0 -> faults--; at = n; goto ask }                  /* lost without effect, assumed to succeed */
 #else
   :: atomic { claim == 0 && faults > 0 -> faults--; claim = n; goto read }
   :: atomic { faults > 0 -> faults--; goto read }
@@ -117,7 +117,7 @@
   :: atomic { reply[me] == ran -> told[me] = ran; goto out }
   :: atomic { reply[me] == unknown -> told[me] = unknown; goto out }
   :: atomic { reply[me] == not_run -> skip }
-  :: atomic { faults > 0 -> faults--; asked[me] = 0;                      /* the connection is lost: ask again, once */
+  :: atomic { faults > 0 -> faults--; asked[me] = 0;                      /* the connection is lost: retry once */
      if
      :: asks < 2 -> goto ask
      :: else -> told[me] = unknown; goto out
@@ -138,7 +138,7 @@
   :: atomic { claim != old -> at = claim; goto ask }
 #endif
   :: atomic { claim == old && faults > 0 -> faults--; claim = n; goto rebind }
-  :: goto confirm                                                         /* no other process, or the store is down */
+  :: goto confirm                                                         /* no other side process, or no store */
   fi;
 confirm:
   if
@@ -154,7 +154,7 @@
   atomic { asked[me] = 0; reply[me] = silent; ended++ }
 }
 
-/* Either side process may die once, or never. */
+/* At most one side process crashes, and it may be either. */
 proctype Death() {
 end0:
   atomic { faults > 0 && ended < TRIES -> faults--;
@@ -166,7 +166,7 @@
 
 init {
   atomic {
-    side_of[1] = 0; side_of[2] = 1;           /* a key is bound anew at the other side process */
+    side_of[1] = 0; side_of[2] = 1;           /* an attempt rebinds its key to the other side process */
     if
     :: side_of[3] = 0; side_of[4] = 1
     :: side_of[3] = 1; side_of[4] = 0
--- a/packages/proofs/model/configuration.pml
+++ b/packages/proofs/model/configuration.pml
@@ -1,11 +1,13 @@
 /*
- * Configuration: an accepted change stays, and no process goes back.
+ * Configuration: an applied change is never lost, and the revision of a process never decreases.
  *
- * Two operators change the head from what they looked at; two processes follow by reads whose results may come late
- * and out of order, and by what a peer holds. A write's answer may be lost, with or without effect.
+ * Two operators each update the head, based on the revision that they have read. Two processes follow the head by reads,
+ * whose results may arrive late and out of order, and by what a peer holds. The response to a write may be lost, whether
+ * or not the write took effect.
  *
- *   Operator: write, settle    apply, writeHead, settle, judge    platform/src/apply.ts
- *   Follower: move             Catalog.move                       platform/src/catalog.ts
+ *   Operator: write      applyConfiguration, writeHead    store/src/apply.ts
+ *   Operator: resolve    resolveOutcome, outcomeIn        store/src/apply.ts
+ *   Follower: update     Catalog.update                   store/src/catalog.ts
  */
 #ifndef FAULTS
 #define FAULTS 2
@@ -13,7 +15,7 @@
 #define REVISIONS 5
 
 byte head = 1;
-byte owner[REVISIONS] = 0;    /* whose change each revision is; kept in the head's recent changes */
+byte owner[REVISIONS] = 0;    /* the operator whose change each revision is, as listed in the head's recent changes */
 byte held[2] = 1;
 byte faults = FAULTS;
 byte ended = 0;
@@ -39,7 +41,7 @@
 #ifdef NO_READBACK
   told[me] = conflict; goto out;
 #endif
-  if                                           /* settle */
+  if                                           /* resolve the outcome by reading the head back */
   :: atomic { head > base && owner[base + 1] == me -> told[me] = applied }
   :: atomic { head > base && owner[base + 1] != me -> told[me] = conflict }
   :: atomic { head == base && tries < 1 -> tries++; goto write }
@@ -57,7 +59,7 @@
   :: rounds < 3 ->
      rounds++;
      if
-     :: read = head                            /* from the store, or an event that comes late */
+     :: read = head                            /* from the store, or from a late event */
      :: read = held[1 - me]                    /* from a peer */
      fi;
      before = held[me];
--- a/packages/proofs/model/slots.pml
+++ b/packages/proofs/model/slots.pml
@@ -1,25 +1,25 @@
 /*
- * Slots: the adapter that was named, and none unloaded while it serves.
+ * Slots: a request runs on the adapter that it names, and no adapter is unloaded while a request uses it.
  *
- * One engine, one adapter's slot, two requests, one wish to put the adapter out. The engine may restart empty and
- * then answer from its base model; an answer may be lost while the engine goes on.
+ * One engine, the slot of one adapter, two requests and one eviction of the adapter. The engine may restart with no
+ * adapter loaded and then respond from its base model; a response may be lost while the engine still runs the request.
  *
- *   Request: pin, send      EngineRunner.start, #generate       daemon/src/side/runner.ts
- *   Request: doubtful       EngineRunner.#releaseOnceEnded      daemon/src/side/runner.ts
- *   Evict                   Slots.#makeRoom                     daemon/src/side/slots.ts
- *   Load                    Slots.#load                         daemon/src/side/slots.ts
+ *   Request: pin, send        EngineRunner.start, #generate       daemon/src/side/runner.ts
+ *   Request: cancel, unpin    EngineRunner.#cancelThenRelease     daemon/src/side/runner.ts
+ *   Evict: unload             AdapterSlots.#freeSlot              daemon/src/side/adapter-slots.ts
+ *   Evict: load               AdapterSlots.#load                  daemon/src/side/adapter-slots.ts
  */
 #ifndef FAULTS
 #define FAULTS 2
 #endif
 #define REQUESTS 2
 
-bool listed = true;        /* the side process's table has the slot */
-byte slot_boot = 1;        /* the boot that it was loaded in */
+bool listed = true;        /* the slot is in the side process's table */
+byte slot_boot = 1;        /* the boot of the engine in which the adapter was loaded */
 byte pins = 0;
-bool held = true;          /* the engine has the adapter */
+bool held = true;          /* the adapter is loaded in the engine */
 byte boot = 1;
-byte using = 0;            /* requests on the adapter in the engine */
+byte using = 0;            /* requests that the engine is running on the adapter */
 byte faults = FAULTS;
 
 proctype Request(byte id) {
@@ -33,7 +33,7 @@
     pins++
 #endif
   }
-  atomic {                                     /* sent: the engine begins */
+  atomic {                                     /* the request is sent and the engine starts it */
     ran_boot = boot;
     on_adapter = held;
     if
@@ -42,7 +42,7 @@
     fi
   }
   if
-  :: atomic {                                  /* the whole answer */
+  :: atomic {                                  /* the complete response arrives */
        if
        :: on_adapter && ran_boot == boot -> using--
        :: else
@@ -52,12 +52,12 @@
 #else
      if
      :: ran_boot == pin_boot -> assert(on_adapter)
-     :: else                                   /* another boot: not believed */
+     :: else                                   /* response from another boot: discarded */
      fi;
 #endif
-  :: atomic { faults > 0 -> faults-- };        /* the answer is lost, the engine goes on */
+  :: atomic { faults > 0 -> faults-- };        /* the response is lost, but the engine still runs the request */
 #ifndef NO_CANCEL
-     atomic {                                  /* cancelled and acknowledged, or restarted */
+     atomic {                                  /* the engine confirms the cancellation or has restarted */
        if
        :: on_adapter && ran_boot == boot -> using--
        :: else
@@ -72,10 +72,10 @@
 proctype Evict() {
   atomic { listed && pins == 0 -> listed = false }
   atomic {
-    assert(using == 0);                        /* the order arrives */
+    assert(using == 0);                        /* the unload order arrives */
     held = false
   }
-  atomic { held = true; slot_boot = boot }     /* loaded again for the next */
+  atomic { held = true; slot_boot = boot }     /* loaded again for the next request */
   listed = true
 }
 
